--- a/packages/contracts/src/announcements.ts
+++ b/packages/contracts/src/announcements.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod'
 
 /** A model as an engine carries it. */
-export const carried = z.object({ model: z.string(), adapter: z.string(), version: z.string() })
+export const servedModel = z.object({ model: z.string(), adapter: z.string(), version: z.string() })
 
 /** The body of `POST /v1/announcements`. */
 export const announcement = z.object({
@@ -22,7 +22,7 @@
   weight: z.number().positive().max(100).default(1),
   /** Requests that it runs or queues, as it last counted them (lags). */
   load: z.int().nonnegative(),
-  carries: z.array(carried).default([]),
+  carries: z.array(servedModel).default([]),
   checksFencing: z.boolean().default(false),
   /** Highest fencing number of an order that it obeyed. */
   fence: z.int().nonnegative().default(0),
@@ -32,7 +32,7 @@
 /** An endpoint's announcement. */
 export type Announcement = z.infer<typeof announcement>
 /** A model as an engine carries it. */
-export type Carried = z.infer<typeof carried>
+export type ServedModel = z.infer<typeof servedModel>
 
 /** The answer to an announcement. */
 export const announcementReply = z.object({
@@ -47,7 +47,7 @@
 export const order = z.object({
   /** Fencing number: the configuration version the order follows. */
   fence: z.int().nonnegative(),
-  carries: z.array(carried)
+  carries: z.array(servedModel)
 })
 /** An order to an engine. */
 export type Order = z.infer<typeof order>
--- a/packages/contracts/src/controlMessages.ts
+++ b/packages/contracts/src/controlMessages.ts
@@ -48,7 +48,7 @@
 export type ControlCall = z.infer<typeof controlCall>
 
 /** What the ledger answers to a begin. */
-export const ledgerState = z.discriminatedUnion('kind', [
+export const ledgerKeyState = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('begun') }),
   z.object({ kind: z.literal('started'), attempt: z.string(), startedAt: z.number() }),
   z.object({ kind: z.literal('finished'), finishedAt: z.number(), answer: storedAnswer.nullable() }),
@@ -57,7 +57,7 @@
   z.object({ kind: z.literal('ahead') })
 ])
 /** What the ledger answers to a begin. */
-export type LedgerState = z.infer<typeof ledgerState>
+export type LedgerKeyState = z.infer<typeof ledgerKeyState>
 
 /** One accepted version of the document. */
 export const historyItem = z.object({ version: z.int(), operator: z.string(), operation: z.string(), atMs: z.number(), changes: z.int() })
@@ -92,7 +92,7 @@
   }),
   z.object({ t: z.literal('lapsed'), incarnation: z.int() }),
   z.object({ t: z.literal('left') }),
-  z.object({ t: z.literal('ledger'), state: ledgerState }),
+  z.object({ t: z.literal('ledger'), state: ledgerKeyState }),
   z.object({ t: z.literal('document'), version: z.int(), document: z.unknown() }),
   z.object({ t: z.literal('put'), version: z.int() }),
   z.object({ t: z.literal('conflict'), currentVersion: z.int(), document: z.unknown() }),
--- a/packages/contracts/src/document.ts
+++ b/packages/contracts/src/document.ts
@@ -54,7 +54,7 @@
 })
 
 /** Which models an engine should carry; the entry `*` of a service is for engines without an entry of their own. */
-export const carriage = z.strictObject({ service: id, engine: z.string().min(1).max(200), models: z.array(id) })
+export const modelAssignment = z.strictObject({ service: id, engine: z.string().min(1).max(200), models: z.array(id) })
 
 /** A client account: an organisation's team or application that calls the fleet. */
 export const clientAccount = z.strictObject({
@@ -95,7 +95,7 @@
   priorities: z.record(id, priority),
   services: z.record(id, service),
   models: z.record(id, model),
-  carriages: z.record(id, carriage),
+  carriages: z.record(id, modelAssignment),
   clientAccounts: z.record(id, clientAccount),
   patience: z.record(id, patienceWindow),
   operators: z.record(id, operator),
@@ -120,7 +120,7 @@
 export interface DocumentFault { path: string, message: string }
 
 /** What checking a document gives. */
-export type CheckedDocument = { kind: 'valid', document: Document } | { kind: 'invalid', faults: DocumentFault[] }
+export type DocumentCheckResult = { kind: 'valid', document: Document } | { kind: 'invalid', faults: DocumentFault[] }
 
 /**
  * Checks a document and reports all its faults at once.
@@ -130,7 +130,7 @@
  * const checked = checkDocument(JSON.parse(text))
  * if (checked.kind === 'invalid') console.error(checked.faults)
  */
-export function checkDocument (input: unknown): CheckedDocument {
+export function checkDocument (input: unknown): DocumentCheckResult {
   const res = document.safeParse(input)
   if (res.success) return { kind: 'valid', document: res.data }
   return { kind: 'invalid', faults: res.error.issues.map(toFault) }
--- a/packages/contracts/src/fleet.ts
+++ b/packages/contracts/src/fleet.ts
@@ -39,7 +39,7 @@
 export type ViewUpdate = z.infer<typeof viewUpdate>
 
 /** An endpoint as gossip carries it. `boot` and `seq` come from the endpoint itself: the higher pair is the newer news. */
-export const endpointEntry = z.object({
+export const endpointRecord = z.object({
   id: z.string(),
   service: z.string(),
   zone: z.string(),
@@ -53,10 +53,10 @@
   checksFencing: z.boolean()
 })
 /** An endpoint as gossip carries it. */
-export type EndpointEntry = z.infer<typeof endpointEntry>
+export type EndpointRecord = z.infer<typeof endpointRecord>
 
 /** An endpoint as its owner shows it to operators. */
-export const ownedStatus = z.object({
+export const endpointStatus = z.object({
   endpoint: z.string(),
   service: z.string(),
   zone: z.string(),
@@ -67,7 +67,7 @@
   queued: z.int()
 })
 /** An endpoint as its owner shows it to operators. */
-export type OwnedStatus = z.infer<typeof ownedStatus>
+export type EndpointStatus = z.infer<typeof endpointStatus>
 
 /** What one owner has in flight on its endpoints of a pool. */
 export const poolLoad = z.object({
--- a/packages/contracts/src/peerMessages.ts
+++ b/packages/contracts/src/peerMessages.ts
@@ -56,7 +56,7 @@
 export const peerCall = z.discriminatedUnion('t', [
   z.object({ t: z.literal('cancel'), attempt: z.string() }),
   /** `digests`: none, one over all, or one for each bucket after the one over all differed. */
-  z.object({ t: z.literal('gossip'), digests: z.array(z.int()), entries: z.array(fleet.endpointEntry) }),
+  z.object({ t: z.literal('gossip'), digests: z.array(z.int()), entries: z.array(fleet.endpointRecord) }),
   z.object({ t: z.literal('explain'), request: z.string() })
 ])
 /** What one instance asks another. */
@@ -65,7 +65,7 @@
 /** The answers to {@link PeerCall}, by the same tag. */
 export const peerReply = z.discriminatedUnion('t', [
   z.object({ t: z.literal('cancel'), reached: z.boolean() }),
-  z.object({ t: z.literal('gossip'), entries: z.array(fleet.endpointEntry), isEqual: z.boolean() }),
+  z.object({ t: z.literal('gossip'), entries: z.array(fleet.endpointRecord), isEqual: z.boolean() }),
   z.object({ t: z.literal('explain'), found: z.boolean(), lines: z.array(z.object({ atMs: z.number(), step: z.string(), why: z.string() })) })
 ])
 /** The answers to {@link PeerCall}. */
--- a/packages/contracts/src/versionedText.ts
+++ b/packages/contracts/src/versionedText.ts
@@ -9,7 +9,7 @@
 import * as digests from './digest.js'
 
 /** A text that a process holds. */
-export interface HeldText { version: number, /** SHA-256 of the text. */ digest: string, text: Buffer }
+export interface VersionedText { version: number, /** SHA-256 of the text. */ digest: string, text: Buffer }
 
 /** A text as it travels. */
 export const packedText = z.object({
@@ -39,7 +39,7 @@
  * @param text its bytes
  * @returns both, with the digest
  */
-export function toHeldText (version: number, text: Uint8Array): HeldText {
+export function toVersionedText (version: number, text: Uint8Array): VersionedText {
   return { version, digest: digests.sha256(text), text: Buffer.from(text) }
 }
 
@@ -48,7 +48,7 @@
  * @param held the text
  * @returns it as it travels
  */
-export function packWhole (held: HeldText): PackedText {
+export function packFull (held: VersionedText): PackedText {
   return { version: held.version, digest: held.digest, base: '', body: zlib.deflateRawSync(held.text, { level: DEFLATE_LEVEL }) }
 }
 
@@ -58,7 +58,7 @@
  * @param to the text to send
  * @returns it as it travels
  */
-export function packDifference (from: HeldText, to: HeldText): PackedText {
+export function packDelta (from: VersionedText, to: VersionedText): PackedText {
   const list = JSON.stringify(diff(cut(from.text), cut(to.text)))
   return { version: to.version, digest: to.digest, base: from.digest, body: zlib.deflateRawSync(Buffer.from(list, 'latin1'), { level: DEFLATE_LEVEL }) }
 }
@@ -70,7 +70,7 @@
  * @returns the text, or undefined where it is the difference from a text that the reader does not hold
  * @throws Error when it is damaged
  */
-export function unpackText (packed: PackedText, held: HeldText | null): HeldText | undefined {
+export function unpackText (packed: PackedText, held: VersionedText | null): VersionedText | undefined {
   if (packed.base !== '' && packed.base !== held?.digest) return undefined
   const bytes = zlib.inflateRawSync(packed.body)
   const text = packed.base === '' || held === null ? bytes : patch(cut(held.text), steps.parse(JSON.parse(bytes.toString('latin1'))))
--- a/packages/control/src/controlInstance.ts
+++ b/packages/control/src/controlInstance.ts
@@ -48,7 +48,7 @@
   const who = { role: 'control' as const, id: opts.id }
   const count: links.CountBytes = (direction, bytes) => { metrics.linkBytes.inc({ direction }, bytes) }
   const handlers: links.LinkHandlers = { onEvent: body => { onEvent(body) }, onCall: async (body, link) => await onCall(body, link) }
-  const peers = links.createPeerBook({ who, secret: opts.secret, log, count, handlers })
+  const peers = links.createPeerLinks({ identity: who, secret: opts.secret, log, countBytes: count, handlers })
   const groupOptions: replicaGroups.GroupOptions = { ...opts, peers, invariants }
 
   const fleetMachine = state.createFleetMachine(() => { leases.onChange() })
@@ -59,7 +59,7 @@
     await groups.get('fleet')?.propose({ t: 'put', operator: 'founding', operation: 'founding', baseVersion: 0, document: opts.document } satisfies state.FleetCommand)
   }
 
-  const server = await links.listen(opts.peerListen, { who, secret: opts.secret, log, count, handlers }, link => { if (link.peer.role === 'control') peers.add(link) })
+  const server = await links.listen(opts.peerListen, { identity: who, secret: opts.secret, log, countBytes: count, handlers }, link => { if (link.peer.role === 'control') peers.add(link) })
   groups.set('fleet', await replicaGroups.startReplica(groupOptions, 'fleet', fleetMachine, isLeader => {
     leases.onLeadership(isLeader)
     if (isLeader) found().catch(() => {})
@@ -113,7 +113,7 @@
   }
 
   const proposeLedger = async (replica: state.Replica, cmd: state.LedgerCommand): Promise<contracts.ControlReply> => {
-    return { t: 'ledger', state: await replica.propose(cmd) as contracts.LedgerState }
+    return { t: 'ledger', state: await replica.propose(cmd) as contracts.LedgerKeyState }
   }
 
   const putDocument = async (call: Extract<contracts.ControlCall, { t: 'documentPut' }>, replica: state.Replica): Promise<contracts.ControlReply> => {
@@ -139,7 +139,7 @@
 
   // Operators may ask any control instance; this client finds the leader for them. It does not come as a control instance:
   // the other side would take its connection for replication, and this client answers no calls.
-  const client = membership.createControlClient({ who: { role: 'tool', id: opts.id }, secret: opts.secret, log, controls: opts.controls, onEvent: () => {} })
+  const client = membership.createControlClient({ identity: { role: 'tool', id: opts.id }, secret: opts.secret, log, controls: opts.controls, onEvent: () => {} })
   const operators = await operatorServer.startOperatorServer(opts.listen, { client, machine: fleetMachine, registry: metrics.registry, log, toHealth: () => ({ peerPort: server.port, replicas: [...groups.values()].map(item => item.status()), invariants: invariants.tallies() }) })
 
   log.event('started', { role: 'control', url: operators.url, peerPort: server.port })
--- a/packages/control/src/operatorServer.ts
+++ b/packages/control/src/operatorServer.ts
@@ -167,7 +167,7 @@
 }
 
 const OWNER_MS = 1500
-const owned = z.object({ owned: z.array(contracts.ownedStatus) })
+const owned = z.object({ owned: z.array(contracts.endpointStatus) })
 
 /** The endpoints as their owners show them; those of an instance that does not answer are left out. */
 async function getEndpoints (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
--- a/packages/control/src/replicaGroups.ts
+++ b/packages/control/src/replicaGroups.ts
@@ -14,7 +14,7 @@
   id: string
   controls: readonly membership.ControlAddress[]
   dataFolder: string
-  peers: links.PeerBook
+  peers: links.PeerLinks
   log: telemetry.Log
   invariants: telemetry.Invariants
   snapshotEvery?: number
--- a/packages/coordination/__tests__/controlNode.test.ts
+++ b/packages/coordination/__tests__/controlNode.test.ts
@@ -52,11 +52,11 @@
   }
 }
 
-function toDocument (version: number, text: string): contracts.HeldText {
-  return contracts.toHeldText(version, Buffer.from(text))
+function toDocument (version: number, text: string): contracts.VersionedText {
+  return contracts.toVersionedText(version, Buffer.from(text))
 }
 
-function toText (held: contracts.HeldText | null): string | undefined {
+function toText (held: contracts.VersionedText | null): string | undefined {
   return held?.text.toString()
 }
 
--- a/packages/coordination/__tests__/documentStore.test.ts
+++ b/packages/coordination/__tests__/documentStore.test.ts
@@ -76,11 +76,11 @@
   return store
 }
 
-function toDocument (version: number, entries = 3): contracts.HeldText {
-  return contracts.toHeldText(version, Buffer.from(JSON.stringify({ version, routes: Array.from({ length: entries }, (_, i) => ({ name: `r${i}`, timeoutMs: i === version ? 1 : 600 })) })))
+function toDocument (version: number, entries = 3): contracts.VersionedText {
+  return contracts.toVersionedText(version, Buffer.from(JSON.stringify({ version, routes: Array.from({ length: entries }, (_, i) => ({ name: `r${i}`, timeoutMs: i === version ? 1 : 600 })) })))
 }
 
-async function putUntilStored (store: coordination.DocumentStore, document: contracts.HeldText): Promise<void> {
+async function putUntilStored (store: coordination.DocumentStore, document: contracts.VersionedText): Promise<void> {
   const end = performance.now() + WAIT_MS
   while (performance.now() < end) {
     const result = await store.put(document, 2000).catch(() => undefined)
--- a/packages/coordination/__tests__/handoutFile.test.ts
+++ b/packages/coordination/__tests__/handoutFile.test.ts
@@ -13,7 +13,7 @@
 const WAIT_MS = 5000
 
 function toReply (version: number): discovery.DiscoveryReply {
-  return { records: null, controls: [], version, document: contracts.packWhole(contracts.toHeldText(version, Buffer.from('{}'))) }
+  return { records: null, controls: [], version, document: contracts.packFull(contracts.toVersionedText(version, Buffer.from('{}'))) }
 }
 
 async function readVersion (folder: string, atLeast: number): Promise<number> {
--- a/packages/coordination/src/controlNode.ts
+++ b/packages/coordination/src/controlNode.ts
@@ -64,9 +64,9 @@
       return await publisher.onCall(discovery.discoveryCall.parse(body), link)
     }
   }
-  const linkSettings: links.LinkSettings = { who: { role: 'control', id: opts.inner }, secret: opts.secret, log, handlers }
-  const book = links.createPeerBook(linkSettings)
-  const reach = links.createReach(book, { dialMs: DIAL_MS, pauseMs: contracts.HEARTBEAT_MS }).get
+  const linkSettings: links.LinkSettings = { identity: { role: 'control', id: opts.inner }, secret: opts.secret, log, handlers }
+  const book = links.createPeerLinks(linkSettings)
+  const reach = links.createPeerDialer(book, { dialTimeoutMs: DIAL_MS, backoffMs: contracts.HEARTBEAT_INTERVAL_MS }).get
 
   const store = await documentStores.startDocumentStore({
     self: opts.inner,
--- a/packages/coordination/src/documentMachine.ts
+++ b/packages/coordination/src/documentMachine.ts
@@ -18,7 +18,7 @@
 /** The machine, with what readers need of its state. */
 export interface DocumentMachine extends state.Machine {
   /** @returns the latest document, or null before the first */
-  held (): contracts.HeldText | null
+  held (): contracts.VersionedText | null
 }
 
 const codec = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
@@ -29,7 +29,7 @@
  * @param put version and digest of the document that is put
  * @returns the result, or undefined where the document is newer
  */
-export function judgeOld (held: contracts.HeldText | null, put: { version: number, digest: string }): PutResult | undefined {
+export function judgeOld (held: contracts.VersionedText | null, put: { version: number, digest: string }): PutResult | undefined {
   if (held === null || put.version > held.version) return undefined
   if (put.version < held.version) return { kind: 'behind', version: held.version }
   return { kind: put.digest === held.digest ? 'held' : 'conflict', version: held.version }
@@ -41,7 +41,7 @@
  * @returns the machine, empty
  */
 export function createDocumentMachine (onChange: (packed?: contracts.PackedText) => void = () => {}): DocumentMachine {
-  let held: contracts.HeldText | null = null
+  let held: contracts.VersionedText | null = null
 
   const put = (packed: contracts.PackedText): PutResult => {
     const old = judgeOld(held, packed)
@@ -55,7 +55,7 @@
 
   return {
     apply: command => put(command as contracts.PackedText),
-    save: () => codec.encode(held === null ? null : contracts.packWhole(held)),
+    save: () => codec.encode(held === null ? null : contracts.packFull(held)),
     restore (bytes) {
       const saved = codec.decode(bytes) as contracts.PackedText | null
       held = saved === null ? null : contracts.unpackText(saved, null) ?? null
--- a/packages/coordination/src/documentStore.ts
+++ b/packages/coordination/src/documentStore.ts
@@ -48,19 +48,19 @@
 /** The document on one control instance. */
 export interface DocumentStore {
   /** @returns the document as applied here, which may be behind */
-  held (): contracts.HeldText | null
+  held (): contracts.VersionedText | null
   /** @returns the document as applied here, packed for a reader who holds a version of it, or null if that is the latest */
   since (version: number): contracts.PackedText | null
   /**
    * Stores a document, at whichever replica leads.
    * @throws Error when the outcome is not known in time; the same document may be sent again
    */
-  put (document: contracts.HeldText, timeoutMs: number): Promise<documentMachines.PutResult>
+  put (document: contracts.VersionedText, timeoutMs: number): Promise<documentMachines.PutResult>
   /**
    * Reads the document so that nothing acknowledged before the call is missing.
    * @throws Error when that cannot be made sure in time
    */
-  read (timeoutMs: number): Promise<contracts.HeldText | null>
+  read (timeoutMs: number): Promise<contracts.VersionedText | null>
   /** Answers a call of another control instance. */
   onCall (call: DocumentCall): Promise<unknown>
   /** @returns whether a quorum, or a leader with one, was heard lately */
@@ -99,9 +99,9 @@
   let machine = documentMachines.createDocumentMachine()
   let lastVoters: string[] = []
   const history = discovery.createDocumentHistory()
-  let best: contracts.HeldText | null = null
+  let best: contracts.VersionedText | null = null
   /** The document that was proposed here last: the next one follows it in the log, so it goes in as the difference from it. */
-  let proposed: contracts.HeldText | null = null
+  let proposed: contracts.VersionedText | null = null
   let isTelling = false
 
   const onChange = (packed?: contracts.PackedText): void => {
@@ -180,16 +180,16 @@
    * Stores at this replica, which leads. Load pattern: operators change one entry several times a second just after they added
    * two thousand; whole, each change takes the leader's link of a few Mbit/s half a second for eight followers.
    */
-  const putHere = async (document: contracts.HeldText): Promise<documentMachines.PutResult> => {
+  const putHere = async (document: contracts.VersionedText): Promise<documentMachines.PutResult> => {
     const from = proposed ?? machine.held()
     if (from === null || document.version > from.version) proposed = document
-    if (from === null) return await propose(contracts.packWhole(document))
-    const result = await propose(contracts.packDifference(from, document))
+    if (from === null) return await propose(contracts.packFull(document))
+    const result = await propose(contracts.packDelta(from, document))
     // What was proposed before it did not come to be held: another leader's change came between, or it was an older version.
-    return result.kind === 'needsWhole' ? await propose(contracts.packWhole(document)) : result
+    return result.kind === 'needsWhole' ? await propose(contracts.packFull(document)) : result
   }
 
-  const readHere = async (timeoutMs: number): Promise<contracts.HeldText | null> => {
+  const readHere = async (timeoutMs: number): Promise<contracts.VersionedText | null> => {
     if (replica === undefined) throw new Error('the replica is being restarted')
     await replica.confirm(timeoutMs)
     return machine.held()
@@ -204,8 +204,8 @@
       if (leftMs <= RETRY_MS) throw last
       const name = leader()
       try {
-        if (name === opts.self) return await links.withinTime(here(leftMs), leftMs, 'no outcome')
-        if (name !== null) return await links.withinTime(opts.reach(name).then(async link => await there(link, leftMs)), leftMs, 'no outcome')
+        if (name === opts.self) return await links.withTimeout(here(leftMs), leftMs, 'no outcome')
+        if (name !== null) return await links.withTimeout(opts.reach(name).then(async link => await there(link, leftMs)), leftMs, 'no outcome')
       } catch (err) {
         last = err
       }
@@ -223,7 +223,7 @@
       const old = documentMachines.judgeOld(best, document)
       if (old !== undefined) return old
       return await retry(timeoutMs, async () => await putHere(document), async (link, leftMs) => {
-        const call: DocumentCall = { t: 'put', packed: contracts.packWhole(document) }
+        const call: DocumentCall = { t: 'put', packed: contracts.packFull(document) }
         return documentMachines.putResult.parse(await link.call(call, leftMs))
       })
     },
@@ -247,7 +247,7 @@
         case 'read': {
           const held = await readHere(RPC_MS)
           const isSame = held !== null && held.version === call.version
-          return { packed: isSame || held === null ? null : contracts.packWhole(held), isSame } satisfies ReadReply
+          return { packed: isSame || held === null ? null : contracts.packFull(held), isSame } satisfies ReadReply
         }
       }
     },
--- a/packages/discovery/__tests__/documents.test.ts
+++ b/packages/discovery/__tests__/documents.test.ts
@@ -6,9 +6,9 @@
 
 const test = ava.default
 
-function toDocument (version: number, entries = 2000): contracts.HeldText {
+function toDocument (version: number, entries = 2000): contracts.VersionedText {
   const routes = Array.from({ length: entries }, (_, i) => ({ name: `r-${(i * 7919) % 100_003}`, timeoutMs: i === version ? 1 : 600 }))
-  return contracts.toHeldText(version, Buffer.from(JSON.stringify({ version, routes })))
+  return contracts.toVersionedText(version, Buffer.from(JSON.stringify({ version, routes })))
 }
 
 // Operators change one route twenty times in a row in a document of 2,000. Each change was sent whole to each instance by
@@ -27,7 +27,7 @@
   await helper.until('the last document is there', () => entry.documents.at(-1)?.version === 21)
   t.deepEqual(entry.documents.at(-1)?.text, toDocument(21).text)
   const bytes = controls.reduce((sum, item) => sum + item.sent(), 0) - before
-  t.true(bytes < 20_000, `${bytes} bytes for 20 changes; one document is ${contracts.packWhole(toDocument(1)).body.length} bytes`)
+  t.true(bytes < 20_000, `${bytes} bytes for 20 changes; one document is ${contracts.packFull(toDocument(1)).body.length} bytes`)
   entry.stop()
   await Promise.all(controls.map(async item => { await item.close() }))
 })
@@ -114,7 +114,7 @@
 // Guards against control instances that are left, one after the other, because their links are busy with a large document.
 test('an instance asks again where a document is withheld for a busy link', async t => {
   const document = toDocument(1, 8000)
-  const bytes = contracts.packWhole(document).body.length
+  const bytes = contracts.packFull(document).body.length
   const control = await helper.startControl({ bytesPerMs: bytes / 300, isTicking: true })
   control.put(document)
   const entries = Array.from({ length: 5 }, (_, i) => helper.startEntry(`e${i}`, [control.address]))
--- a/packages/discovery/__tests__/handout.test.ts
+++ b/packages/discovery/__tests__/handout.test.ts
@@ -29,7 +29,7 @@
 }
 
 function toReply (version: number): discovery.DiscoveryReply {
-  const document = contracts.packWhole(contracts.toHeldText(version, Buffer.from(`{"version":${version}}`)))
+  const document = contracts.packFull(contracts.toVersionedText(version, Buffer.from(`{"version":${version}}`)))
   const record: discovery.Record = { kind: 'endpoint', id: 'e1', startedAt: 1, seq: 1, zone: 'z', state: 'ready', service: 's', address: '10.0.0.1:80', slots: 8, coldMs: 0 }
   return { records: discovery.packRecords([record]), controls: ['127.0.0.1:1'], version, document }
 }
@@ -93,7 +93,7 @@
   })
   await helper.until('it has the document', () => entry.documents.length === 1)
   t.is(entry.documents[0].version, 4)
-  control.put(contracts.toHeldText(5, Buffer.from('{"version":5}')))
+  control.put(contracts.toVersionedText(5, Buffer.from('{"version":5}')))
   seeds.push(control.address)
   await helper.until('it has the newer one', () => entry.documents.at(-1)?.version === 5)
   t.deepEqual(entry.documents.map(item => item.version), [4, 5])
@@ -105,7 +105,7 @@
   const inner = await findInner()
   await serve(t, inner, Buffer.from(discovery.encodeReply(toReply(4))))
   const control = await helper.startControl({ isTicking: true })
-  control.put(contracts.toHeldText(5, Buffer.from('{"version":5}')))
+  control.put(contracts.toVersionedText(5, Buffer.from('{"version":5}')))
   let release: () => void = () => {}
   const held = new Promise<void>(resolve => { release = resolve })
   const entry = helper.startEntry('i1', [control.address], undefined, async () => {
--- a/packages/discovery/__tests__/helpers/testControl.ts
+++ b/packages/discovery/__tests__/helpers/testControl.ts
@@ -20,7 +20,7 @@
   subscriptions: () => number
   /** Links of entry instances that are open. */
   subscribers: () => number
-  put: (document: contracts.HeldText) => void
+  put: (document: contracts.VersionedText) => void
   tick: () => void
   close: () => Promise<void>
 }
@@ -45,7 +45,7 @@
 
 /** Starts a control instance that hands out differences from the version before, and the whole to everyone else. */
 export async function startControl (opts: ControlOptions = {}): Promise<TestControl> {
-  const texts: contracts.HeldText[] = []
+  const texts: contracts.VersionedText[] = []
   const open: links.Link[] = []
   let bytes = 0
   let fetches = 0
@@ -56,7 +56,7 @@
     const latest = texts.at(-1)
     if (latest === undefined || (latest.version <= version && opts.said === undefined)) return null
     const from = texts.find(item => item.version === version)
-    return from === undefined ? contracts.packWhole(latest) : contracts.packDifference(from, latest)
+    return from === undefined ? contracts.packFull(latest) : contracts.packDelta(from, latest)
   }
   const publisher = discovery.createPublisher({
     get self () { return `127.0.0.1:${port()}` },
@@ -80,7 +80,7 @@
       return await publisher.onCall(call, link)
     }
   }
-  const cfg: links.LinkSettings = { who: { role: 'control', id: 'control' }, secret: SECRET, log, handlers, count: (direction, size) => { if (direction === 'out') bytes += size } }
+  const cfg: links.LinkSettings = { identity: { role: 'control', id: 'control' }, secret: SECRET, log, handlers, countBytes: (direction, size) => { if (direction === 'out') bytes += size } }
   const server = listening = await links.listen('127.0.0.1:0', cfg, link => { open.push(link) })
   return {
     address: `127.0.0.1:${server.port}`,
@@ -102,11 +102,11 @@
 }
 
 /** An entry instance under test. */
-export interface TestEntry { documents: contracts.HeldText[], seeds: string[], subscriptions: () => number, currentSince: () => number, stop: () => void }
+export interface TestEntry { documents: contracts.VersionedText[], seeds: string[], subscriptions: () => number, currentSince: () => number, stop: () => void }
 
 /** Starts an entry instance that subscribes; with a clock that stands still no control instance falls silent. */
 export function startEntry (id: string, seeds: string[], now?: () => number, handout?: (address: string) => Promise<Uint8Array>): TestEntry {
-  const documents: contracts.HeldText[] = []
+  const documents: contracts.VersionedText[] = []
   const handlers: links.LinkHandlers = {
     onEvent (body, link) { subscriber.onEvent(discovery.discoveryEvent.parse(body), link) },
     async onCall () { throw new Error('no calls') }
@@ -114,7 +114,7 @@
   const subscriber = discovery.startSubscriber({
     seeds: () => seeds,
     table: discovery.createRecordTable(),
-    dial: async address => await links.dial(address, { who: { role: 'router', id }, secret: SECRET, log, handlers }),
+    dial: async address => await links.dial(address, { identity: { role: 'router', id }, secret: SECRET, log, handlers }),
     self: () => ({ kind: 'entry', id, startedAt: 1, seq: 1, zone: 'z', region: 'r', front: '127.0.0.1:1', inner: '127.0.0.1:2', state: 'ready' }),
     onDocument: document => { documents.push(document) },
     onRecords: () => {},
--- a/packages/discovery/src/documentFetcher.ts
+++ b/packages/discovery/src/documentFetcher.ts
@@ -35,7 +35,7 @@
   /** @returns a link to another entry instance */
   reachPeer: (address: string) => Promise<links.Link>
   /** Takes a newer document, with the time since it was first heard of, milliseconds. */
-  onDocument: (document: contracts.HeldText, waitedMs: number) => void
+  onDocument: (document: contracts.VersionedText, waitedMs: number) => void
   /** How much of its link this instance may fill with documents for others. */
   budget: sendBudgets.SendBudget
   signal: AbortSignal
@@ -78,7 +78,7 @@
   const peerVersions = new Map<string, number>()
   /** Addresses that were asked and have not answered yet. */
   const asked = new Set<string>()
-  let held: contracts.HeldText | null = null
+  let held: contracts.VersionedText | null = null
   let isFetching = false
   let timer: NodeJS.Timeout | undefined
   let heardOfNewerAt: number | undefined
--- a/packages/discovery/src/documentHistory.ts
+++ b/packages/discovery/src/documentHistory.ts
@@ -8,7 +8,7 @@
    * @param held the document
    * @param packed how it came here, if it came packed: what it is the difference from is not worked out again for others
    */
-  add (held: contracts.HeldText, packed?: contracts.PackedText): void
+  add (held: contracts.VersionedText, packed?: contracts.PackedText): void
   /**
    * Packs the latest document for a reader.
    * @param version what the reader holds, 0 for nothing
@@ -25,7 +25,7 @@
  * @returns the history, empty
  */
 export function createDocumentHistory (): DocumentHistory {
-  const texts: contracts.HeldText[] = []
+  const texts: contracts.VersionedText[] = []
   /** Many readers hold the same version when the next one comes: what is packed for the first serves all. */
   const packedSince = new Map<number, contracts.PackedText>()
 
@@ -43,7 +43,7 @@
       const from = texts.find(item => item.version === version)
       const known = packedSince.get(from?.version ?? 0)
       if (known !== undefined) return known
-      const packed = from === undefined ? contracts.packWhole(latest) : contracts.packDifference(from, latest)
+      const packed = from === undefined ? contracts.packFull(latest) : contracts.packDelta(from, latest)
       packedSince.set(from?.version ?? 0, packed)
       return packed
     }
--- a/packages/discovery/src/subscriber.ts
+++ b/packages/discovery/src/subscriber.ts
@@ -25,7 +25,7 @@
   /** What this instance says of itself. */
   self: () => records.EntryRecord
   /** Takes a newer document, with the time since it was first heard of, milliseconds. */
-  onDocument: (document: contracts.HeldText, waitedMs: number) => void
+  onDocument: (document: contracts.VersionedText, waitedMs: number) => void
   /** Inner addresses of the other entry instances, in random order; absent where there are none. */
   peers?: () => readonly string[]
   /** @returns a link to another entry instance */
--- a/packages/forwarding/__tests__/helpers/testFleet.ts
+++ b/packages/forwarding/__tests__/helpers/testFleet.ts
@@ -19,7 +19,7 @@
 export interface TestControl {
   inner: string
   /** Holds and announces a document. */
-  put: (document: contracts.HeldText) => void
+  put: (document: contracts.VersionedText) => void
   /** From now on the document is asked for in vain, until {@link TestControl.release}. */
   withhold: () => void
   /** Answers those who asked meanwhile. */
@@ -36,7 +36,7 @@
 /** Starts a control instance. */
 export async function startControl (group: ControlGroup = new Set()): Promise<TestControl> {
   const inner = await freeAddress()
-  let held: contracts.HeldText | undefined
+  let held: contracts.VersionedText | undefined
   let isWithholding = false
   const waiting: Array<() => void> = []
   const publisher = discovery.createPublisher({
@@ -45,7 +45,7 @@
     others: () => [],
     reach: async () => { throw new Error('there are no others') },
     version: () => held?.version ?? 0,
-    documentSince: version => held === undefined || held.version <= version ? null : contracts.packWhole(held),
+    documentSince: version => held === undefined || held.version <= version ? null : contracts.packFull(held),
     isCurrent: () => true,
     log
   })
@@ -68,7 +68,7 @@
       return isWithholding ? { ...reply, document: null } : reply
     }
   }
-  const server = await links.listen(inner, { who: { role: 'control', id: inner }, secret: SECRET, log, handlers }, () => {})
+  const server = await links.listen(inner, { identity: { role: 'control', id: inner }, secret: SECRET, log, handlers }, () => {})
   const timer = setInterval(() => { publisher.tick() }, TICK_MS)
   return {
     inner,
@@ -90,10 +90,10 @@
 }
 
 /** A document whose routes have these path prefixes. */
-export function toDocument (version: number, prefixes: string[]): contracts.HeldText {
+export function toDocument (version: number, prefixes: string[]): contracts.VersionedText {
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 100_000, headerTimeoutMs: 1000, idleTimeoutMs: 5000 }
   const table: routeTables.RouteTable = { version, routes: prefixes.map(pathPrefix => helper.toRoute({ name: pathPrefix, pathPrefix })), services: [{ name: 'svc', maxConnections: 100, canFetch: false }], accounts: null, limits }
-  return contracts.toHeldText(version, Buffer.from(JSON.stringify(table)))
+  return contracts.toVersionedText(version, Buffer.from(JSON.stringify(table)))
 }
 
 /** An entry instance of a test. */
--- a/packages/forwarding/src/entryInstance.ts
+++ b/packages/forwarding/src/entryInstance.ts
@@ -129,11 +129,11 @@
     },
     async onCall (body) { return subscriber.onCall(discovery.discoveryCall.parse(body)) }
   }
-  const linkSettings: links.LinkSettings = { who: { role: 'router', id: opts.inner }, secret: opts.secret, log, handlers }
-  const book = links.createPeerBook(linkSettings)
-  const peers = links.createReach(book, { dialMs: DIAL_MS, pauseMs: PEER_PAUSE_MS })
+  const linkSettings: links.LinkSettings = { identity: { role: 'router', id: opts.inner }, secret: opts.secret, log, handlers }
+  const book = links.createPeerLinks(linkSettings)
+  const peers = links.createPeerDialer(book, { dialTimeoutMs: DIAL_MS, backoffMs: PEER_PAUSE_MS })
 
-  const takeDocument = (taken: contracts.HeldText, waitedMs: number): void => {
+  const takeDocument = (taken: contracts.VersionedText, waitedMs: number): void => {
     try {
       document = routeTables.compileTable(opts.readDocument(taken.text))
       server.applyLimits(document.limits)
@@ -195,7 +195,7 @@
   const subscriber = discovery.startSubscriber({
     seeds: opts.seeds,
     table,
-    dial: async address => await links.withinTime(links.dial(address, linkSettings), DIAL_MS, `no connection to ${address}`),
+    dial: async address => await links.withTimeout(links.dial(address, linkSettings), DIAL_MS, `no connection to ${address}`),
     handout: opts.takesHandouts ? async address => await discovery.fetchHandout(discovery.toHandoutAddress(address), opts.secret) : undefined,
     self,
     onDocument: takeDocument,
@@ -220,7 +220,7 @@
       const ready = table.entries()
         .filter(item => item.record.id === opts.id ? isSelfReady : item.record.state === 'ready' && isHeard(item.heardAt))
         .map(item => item.record)
-      const reachable = ready.filter(item => now() - peers.failedAt(item.inner) > PEER_FAILED_MS)
+      const reachable = ready.filter(item => now() - peers.lastFailureAt(item.inner) > PEER_FAILED_MS)
       const pool = reachable.length > 0 ? reachable : ready
       const near = pool.filter(item => item.zone === zone)
       return (near.length >= ZONE_ENOUGH ? near : pool).map(item => item.front)
--- a/packages/links/__tests__/links.test.ts
+++ b/packages/links/__tests__/links.test.ts
@@ -9,7 +9,7 @@
 const log = telemetry.createLog({ instance: 'test', level: 'silent' })
 const handlers: links.LinkHandlers = { onEvent: () => {}, onCall: async body => ({ echo: body }) }
 
-const settings = (id: string, secret = 'a-secret-for-links'): links.LinkSettings => ({ who: { role: 'router', id }, secret, log, handlers })
+const settings = (id: string, secret = 'a-secret-for-links'): links.LinkSettings => ({ identity: { role: 'router', id }, secret, log, handlers })
 
 async function listen (t: ava.ExecutionContext, cfg = settings('server')): Promise<links.LinkServer> {
   const server = await links.listen('127.0.0.1:0', cfg, () => {})
@@ -19,7 +19,7 @@
 
 test('frames survive any cut of the stream', t => {
   fc.assert(fc.property(fc.array(fc.record({ t: fc.string(), n: fc.integer(), data: fc.uint8Array({ maxLength: 50 }) }), { minLength: 1, maxLength: 8 }), fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }), (bodies, cuts) => {
-    const bytes = Buffer.concat(bodies.map((body, i) => links.encode([links.FrameKind.event, i, body])))
+    const bytes = Buffer.concat(bodies.map((body, i) => links.encodeFrame([links.FrameKind.event, i, body])))
     const reader = links.createFrameReader(() => 1e6)
     const seen: unknown[] = []
     for (let at = 0, i = 0; at < bytes.length; i++) {
@@ -33,7 +33,7 @@
 
 test('frames that are too large or no frames are refused', t => {
   const reader = links.createFrameReader(() => 100)
-  t.throws(() => reader.push(links.encode([0, 0, 'x'.repeat(200)])), { instanceOf: links.FrameError })
+  t.throws(() => reader.push(links.encodeFrame([0, 0, 'x'.repeat(200)])), { instanceOf: links.FrameError })
   t.throws(() => links.createFrameReader(() => 100).push(Buffer.from([0, 0, 0, 2, 0x82, 0x01])), { instanceOf: links.FrameError })
 })
 
@@ -52,7 +52,7 @@
 test('without the secret there is no link, from either side', async t => {
   const server = await listen(t)
   await t.throwsAsync(links.dial(`127.0.0.1:${server.port}`, settings('client', 'another-secret-16')))
-  const impostor = net.createServer(socket => { socket.write(links.encode([0, 0, { protocol: 1, who: { role: 'router', id: 'server' }, nonce: 'n'.repeat(32), proof: 'p' }])) })
+  const impostor = net.createServer(socket => { socket.write(links.encodeFrame([0, 0, { protocol: 1, who: { role: 'router', id: 'server' }, nonce: 'n'.repeat(32), proof: 'p' }])) })
   await new Promise<void>(resolve => { impostor.listen(0, '127.0.0.1', resolve) })
   t.teardown(() => { impostor.close() })
   await t.throwsAsync(links.dial(`127.0.0.1:${(impostor.address() as net.AddressInfo).port}`, settings('client')), { message: /could not prove/ })
--- a/packages/links/src/connect.ts
+++ b/packages/links/src/connect.ts
@@ -8,12 +8,12 @@
 
 /** What both sides of a link need. */
 export interface LinkSettings {
-  who: handshake.Identity
+  identity: handshake.Identity
   /** The fleet secret, which both sides must know. */
   secret: string
   log: telemetry.Log
   handlers: links.LinkHandlers
-  count?: links.CountBytes
+  countBytes?: links.CountBytes
 }
 
 /** Before the proof, a stranger may make us hold no more than this. */
@@ -42,15 +42,15 @@
   const pipe = createHandshakePipe(socket)
   try {
     const nonce = handshake.createNonce()
-    pipe.write({ protocol: handshake.PROTOCOL, who: cfg.who, nonce })
-    const hello = handshake.welcome.parse(await pipe.next())
-    const expected = handshake.prove(cfg.secret, 'listens', nonce, hello.nonce, hello.who)
-    if (!handshake.isProof(expected, hello.proof)) {
+    pipe.write({ protocol: handshake.PROTOCOL, who: cfg.identity, nonce })
+    const hello = handshake.serverHello.parse(await pipe.next())
+    const expected = handshake.createProof(cfg.secret, 'listens', nonce, hello.nonce, hello.who)
+    if (!handshake.isValidProof(expected, hello.proof)) {
       cfg.log.event('linkRefused', { address, claims: hello.who.id })
       throw new Error(`${address} could not prove the fleet secret`)
     }
-    pipe.write({ proof: handshake.prove(cfg.secret, 'dials', hello.nonce, nonce, cfg.who) })
-    return links.createLink({ socket, peer: hello.who, log: cfg.log, handlers: cfg.handlers, count: cfg.count, ...pipe.finish() })
+    pipe.write({ proof: handshake.createProof(cfg.secret, 'dials', hello.nonce, nonce, cfg.identity) })
+    return links.createLink({ socket, peer: hello.who, log: cfg.log, handlers: cfg.handlers, countBytes: cfg.countBytes, ...pipe.finish() })
   } catch (err) {
     socket.destroy()
     throw err
@@ -95,24 +95,24 @@
 
 async function accept (socket: net.Socket, cfg: LinkSettings): Promise<links.Link> {
   const pipe = createHandshakePipe(socket)
-  const hello = handshake.greeting.parse(await pipe.next())
+  const hello = handshake.clientHello.parse(await pipe.next())
   const nonce = handshake.createNonce()
-  const proof = handshake.prove(cfg.secret, 'listens', hello.nonce, nonce, cfg.who)
-  pipe.write({ protocol: handshake.PROTOCOL, who: cfg.who, nonce, proof })
-  const last = handshake.confirmation.parse(await pipe.next())
-  const expected = handshake.prove(cfg.secret, 'dials', nonce, hello.nonce, hello.who)
-  if (!handshake.isProof(expected, last.proof)) {
+  const proof = handshake.createProof(cfg.secret, 'listens', hello.nonce, nonce, cfg.identity)
+  pipe.write({ protocol: handshake.PROTOCOL, who: cfg.identity, nonce, proof })
+  const last = handshake.clientProof.parse(await pipe.next())
+  const expected = handshake.createProof(cfg.secret, 'dials', nonce, hello.nonce, hello.who)
+  if (!handshake.isValidProof(expected, last.proof)) {
     cfg.log.event('linkRefused', { claims: hello.who.id, address: socket.remoteAddress ?? '' })
     throw new Error('no proof of the fleet secret')
   }
-  return links.createLink({ socket, peer: hello.who, log: cfg.log, handlers: cfg.handlers, count: cfg.count, ...pipe.finish() })
+  return links.createLink({ socket, peer: hello.who, log: cfg.log, handlers: cfg.handlers, countBytes: cfg.countBytes, ...pipe.finish() })
 }
 
 /** Reads single frames until the handshake is over, then hands over what is left. */
 function createHandshakePipe (socket: net.Socket) {
   let maxBytes = HANDSHAKE_MAX_BYTES
   const reader = frames.createFrameReader(() => maxBytes)
-  const early: frames.Received[] = []
+  const earlyFrames: frames.ReceivedFrame[] = []
   let wake: () => void = () => {}
   let failure: Error | undefined
   const fail = (err: Error): void => {
@@ -121,7 +121,7 @@
   }
   const onData = (chunk: Buffer): void => {
     try {
-      early.push(...reader.push(chunk))
+      earlyFrames.push(...reader.push(chunk))
     } catch (err) {
       fail(err as Error)
     }
@@ -134,11 +134,11 @@
   socket.on('close', onClose)
   return {
     write (body: unknown): void {
-      socket.write(frames.encode([frames.FrameKind.event, 0, body]))
+      socket.write(frames.encodeFrame([frames.FrameKind.event, 0, body]))
     },
     async next (): Promise<unknown> {
       while (true) {
-        const item = early.shift()
+        const item = earlyFrames.shift()
         if (item !== undefined) return item.frame[2]
         if (failure !== undefined) {
           clearTimeout(timer)
@@ -147,13 +147,13 @@
         await new Promise<void>(resolve => { wake = resolve })
       }
     },
-    finish (): { reader: frames.FrameReader, early: frames.Received[] } {
+    finish (): { reader: frames.FrameReader, earlyFrames: frames.ReceivedFrame[] } {
       clearTimeout(timer)
       maxBytes = contracts.MAX_FRAME_BYTES
       socket.off('data', onData)
       socket.off('close', onClose)
       socket.pause()
-      return { reader, early }
+      return { reader, earlyFrames }
     }
   }
 }
--- a/packages/links/src/endpointClient.ts
+++ b/packages/links/src/endpointClient.ts
@@ -6,10 +6,10 @@
 import * as undici from 'undici'
 
 /** A connection lent for one request. */
-export interface Lease {
+export interface EndpointConnection {
   client: undici.Client
   /** Gives the connection back for the next request. */
-  giveBack (): void
+  release (): void
   /** Destroys the connection. */
   destroy (): void
 }
@@ -23,9 +23,9 @@
    * @returns the connection
    * @throws Error when the endpoint cannot be connected to; nothing was sent
    */
-  borrow (isFresh?: boolean): Promise<Lease>
+  acquire (isFresh?: boolean): Promise<EndpointConnection>
   /** Destroys all idle connections, after one was found silent. */
-  distrust (): void
+  closeIdle (): void
   /** Ends all connections. */
   close (): void
 }
@@ -92,13 +92,13 @@
   }
 
   return {
-    async borrow (isFresh = false) {
+    async acquire (isFresh = false) {
       const client = (isFresh ? undefined : takeIdle()) ?? await connect()
       lent.add(client)
       let isDone = false
       return {
         client,
-        giveBack () {
+        release () {
           if (isDone) return
           isDone = true
           lent.delete(client)
@@ -112,7 +112,7 @@
         }
       }
     },
-    distrust () {
+    closeIdle () {
       for (const item of idle) drop(item.client)
       idle = []
     },
--- a/packages/links/src/frames.ts
+++ b/packages/links/src/frames.ts
@@ -21,7 +21,7 @@
  * @param frame what to send
  * @returns its bytes with the length in front
  */
-export function encode (frame: Frame): Buffer {
+export function encodeFrame (frame: Frame): Buffer {
   const body = codec.encode(frame)
   const out = Buffer.allocUnsafe(LENGTH_BYTES + body.length)
   out.writeUInt32BE(body.length, 0)
@@ -30,7 +30,7 @@
 }
 
 /** A frame that came, with its size on the wire. */
-export interface Received { frame: Frame, bytes: number }
+export interface ReceivedFrame { frame: Frame, bytes: number }
 
 /** Cuts a byte stream into frames. */
 export interface FrameReader {
@@ -40,7 +40,7 @@
    * @returns the frames that are complete now
    * @throws FrameError when a frame is too large or cannot be read
    */
-  push (chunk: Buffer): Received[]
+  push (chunk: Buffer): ReceivedFrame[]
 }
 
 /**
@@ -61,7 +61,7 @@
     push (chunk) {
       held.push(chunk)
       heldBytes += chunk.length
-      const frames: Received[] = []
+      const frames: ReceivedFrame[] = []
       if (heldBytes < LENGTH_BYTES) return frames
       let all = take()
       while (all.length >= LENGTH_BYTES) {
--- a/packages/links/src/handshake.ts
+++ b/packages/links/src/handshake.ts
@@ -15,11 +15,11 @@
 export type Identity = z.infer<typeof identity>
 
 /** First frame of the side that connects. */
-export const greeting = z.object({ protocol: z.literal(PROTOCOL), who: identity, nonce: z.string().min(16).max(64) })
+export const clientHello = z.object({ protocol: z.literal(PROTOCOL), who: identity, nonce: z.string().min(16).max(64) })
 /** Answer of the side that listens. */
-export const welcome = z.object({ protocol: z.literal(PROTOCOL), who: identity, nonce: z.string().min(16).max(64), proof: z.string() })
+export const serverHello = z.object({ protocol: z.literal(PROTOCOL), who: identity, nonce: z.string().min(16).max(64), proof: z.string() })
 /** Last frame of the handshake. */
-export const confirmation = z.object({ proof: z.string() })
+export const clientProof = z.object({ proof: z.string() })
 
 /** @returns a fresh nonce */
 export function createNonce (): string {
@@ -35,7 +35,7 @@
  * @param who the identity that is claimed
  * @returns the proof in hexadecimal
  */
-export function prove (secret: string, side: 'dials' | 'listens', theirs: string, ours: string, who: Identity): string {
+export function createProof (secret: string, side: 'dials' | 'listens', theirs: string, ours: string, who: Identity): string {
   return crypto.createHmac('sha256', secret).update([side, theirs, ours, who.role, who.id].join('\n')).digest('hex')
 }
 
@@ -45,6 +45,6 @@
  * @param given what came
  * @returns whether they are equal
  */
-export function isProof (expected: string, given: string): boolean {
+export function isValidProof (expected: string, given: string): boolean {
   return contracts.isSameSecret(expected, given)
 }
--- a/packages/links/src/link.ts
+++ b/packages/links/src/link.ts
@@ -8,7 +8,7 @@
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as frames from './frames.js'
 import * as handshake from './handshake.js'
-import * as linkWatches from './linkWatch.js'
+import * as linkMonitors from './linkMonitor.js'
 
 /** Why a link ended. */
 export type CloseReason = 'ended' | 'silent' | 'invalid' | 'local'
@@ -50,7 +50,7 @@
   /** Sends a call. @returns its reply. @throws CallError */
   call (body: unknown, timeoutMs: number): Promise<unknown>
   /** Says that work depends on this link, so that silence is noticed at once. @returns the release */
-  hold (): () => void
+  markBusy (): () => void
   /** @returns when the socket's buffer has gone down, so that a slow reader slows the writer */
   drained (): Promise<void>
   /** Ends the link. */
@@ -68,19 +68,19 @@
  * @returns it as it travels
  */
 export function encodeEvent (body: unknown): EncodedEvent {
-  return { body, bytes: frames.encode([frames.FrameKind.event, 0, body]) }
+  return { body, bytes: frames.encodeFrame([frames.FrameKind.event, 0, body]) }
 }
 
 /** What a link is made of, once the handshake is over. */
-export interface LinkParts {
+export interface LinkOptions {
   socket: net.Socket
   peer: handshake.Identity
   reader: frames.FrameReader
   /** Frames that came together with the end of the handshake. */
-  early: frames.Received[]
+  earlyFrames: frames.ReceivedFrame[]
   handlers: LinkHandlers
   log: telemetry.Log
-  count?: CountBytes
+  countBytes?: CountBytes
 }
 
 const HIGH_WATER_BYTES = 1024 * 1024
@@ -90,10 +90,10 @@
  * @param parts the socket and what to do with its traffic
  * @returns the link
  */
-export function createLink (parts: LinkParts): Link {
+export function createLink (parts: LinkOptions): Link {
   const { socket, peer, handlers, log } = parts
   const pending = new Map<number, { resolve: (body: unknown) => void, reject: (err: Error) => void }>()
-  const count = parts.count ?? (() => {})
+  const count = parts.countBytes ?? (() => {})
   let nextCall = 1
   let holds = 0
   let lastReceivedAt = performance.now()
@@ -103,7 +103,7 @@
   const closed = new Promise<CloseReason>(resolve => { settleClosed = resolve })
 
   const write = (frame: frames.Frame): void => {
-    if (link.isOpen()) writeBytes(frames.encode(frame), frame[2])
+    if (link.isOpen()) writeBytes(frames.encodeFrame(frame), frame[2])
   }
 
   const writeBytes = (bytes: Buffer, body: unknown): void => {
@@ -137,7 +137,7 @@
         write([frames.FrameKind.call, call, body])
       })
     },
-    hold: () => {
+    markBusy: () => {
       holds++
       let isHeld = true
       return () => {
@@ -160,7 +160,7 @@
     }
   }
 
-  const take = (item: frames.Received): void => {
+  const take = (item: frames.ReceivedFrame): void => {
     const [kind, call, body] = item.frame
     count('in', item.bytes, body)
     switch (kind) {
@@ -181,7 +181,7 @@
 
   const read = async (): Promise<void> => {
     try {
-      for (const item of parts.early) take(item)
+      for (const item of parts.earlyFrames) take(item)
       for await (const chunk of socket) {
         lastReceivedAt = performance.now()
         pingSentAt = undefined
@@ -202,10 +202,10 @@
 
   // Guards against connections that go silent for good while new ones work: something between the two ends has lost
   // track of them, no reset ever comes, and a request would wait forever. A ping that nothing follows shows it.
-  const look: linkWatches.Look = (now, wasFrozen) => {
+  const look: linkMonitors.LinkCheck = (now, wasFrozen) => {
     // After a freeze of this process the silence is our own: judge the peer anew.
     if (wasFrozen) pingSentAt = undefined
-    if (pingSentAt !== undefined && now - pingSentAt > contracts.LINK_SILENT_MS - contracts.LINK_PING_MS) {
+    if (pingSentAt !== undefined && now - pingSentAt > contracts.LINK_TIMEOUT_MS - contracts.LINK_PING_MS) {
       log.event('linkSilent', { peer: peer.id, silentMs: Math.round(now - lastReceivedAt) })
       end('silent')
       return
@@ -219,7 +219,7 @@
   }
 
   socket.setNoDelay(true)
-  const unwatch = linkWatches.watchLink(look)
+  const unwatch = linkMonitors.monitorLink(look)
   void read().finally(unwatch)
   return link
 }
--- a/packages/links/src/linkWatch.ts
+++ b/packages/links/src/linkMonitor.ts
@@ -4,12 +4,12 @@
  */
 
 /** One look at one link. */
-export type Look = (now: number, /** Whether this process stood still since the last look. */ wasFrozen: boolean) => void
+export type LinkCheck = (now: number, /** Whether this process stood still since the last look. */ wasFrozen: boolean) => void
 
 /** Between two looks, milliseconds: a third of the time after which a silent link in use is given up. */
-export const WATCH_MS = 350
+export const CHECK_INTERVAL_MS = 350
 
-const looks = new Set<Look>()
+const looks = new Set<LinkCheck>()
 let timer: NodeJS.Timeout | undefined
 let lastLookAt = 0
 
@@ -18,11 +18,11 @@
  * @param look what is to be done with it each time
  * @returns how to end that
  */
-export function watchLink (look: Look): () => void {
+export function monitorLink (look: LinkCheck): () => void {
   looks.add(look)
   if (timer === undefined) {
     lastLookAt = performance.now()
-    timer = setInterval(lookAtAll, WATCH_MS)
+    timer = setInterval(lookAtAll, CHECK_INTERVAL_MS)
     timer.unref()
   }
   return () => {
@@ -35,7 +35,7 @@
 
 function lookAtAll (): void {
   const now = performance.now()
-  const wasFrozen = now - lastLookAt > 3 * WATCH_MS
+  const wasFrozen = now - lastLookAt > 3 * CHECK_INTERVAL_MS
   lastLookAt = now
   for (const look of [...looks]) look(now, wasFrozen)
 }
--- a/packages/links/src/reach.ts
+++ b/packages/links/src/peerDialer.ts
@@ -1,21 +1,21 @@
 /** Reaching a peer whose machine may be gone: waits only so long, and does not try again at once. */
 import * as links from './link.js'
-import type * as peerBooks from './peerBook.js'
+import type * as peerLinks from './peerLinks.js'
 
 /** How long to wait, and how often to try. */
-export interface ReachOptions {
+export interface PeerDialerOptions {
   /** A machine without power or behind a partition does not answer: so long is waited for a connection, milliseconds. */
-  dialMs: number
+  dialTimeoutMs: number
   /** After a failure nothing is tried for this long, so that messages to a lost peer fail at once, milliseconds. */
-  pauseMs: number
+  backoffMs: number
 }
 
 /** Reaches peers by address. */
-export interface Reach {
+export interface PeerDialer {
   /** @returns an open link. @throws Error when there is none in time, or a try failed just now */
   get: (address: string) => Promise<links.Link>
   /** @returns when the peer could last not be reached, on the steady clock; -Infinity if never */
-  failedAt: (address: string) => number
+  lastFailureAt: (address: string) => number
 }
 
 /**
@@ -24,17 +24,17 @@
  * @param opts how long to wait
  * @returns the way
  */
-export function createReach (book: peerBooks.PeerBook, opts: ReachOptions): Reach {
+export function createPeerDialer (book: peerLinks.PeerLinks, opts: PeerDialerOptions): PeerDialer {
   const failures = new Map<string, number>()
   const failedAt = (address: string): number => failures.get(address) ?? -Infinity
   return {
-    failedAt,
+    lastFailureAt: failedAt,
     async get (address) {
       const known = book.peek(address)
       if (known !== undefined) return known
-      if (performance.now() - failedAt(address) < opts.pauseMs) throw new Error(`${address} could not be reached just now`)
+      if (performance.now() - failedAt(address) < opts.backoffMs) throw new Error(`${address} could not be reached just now`)
       try {
-        return await withinTime(book.get(address, address), opts.dialMs, `no connection to ${address}`)
+        return await withTimeout(book.get(address, address), opts.dialTimeoutMs, `no connection to ${address}`)
       } catch (err) {
         failures.set(address, performance.now())
         throw err
@@ -51,7 +51,7 @@
  * @returns what came
  * @throws Error when nothing came in time
  */
-export async function withinTime<T> (work: Promise<T>, ms: number, missing: string): Promise<T> {
+export async function withTimeout<T> (work: Promise<T>, ms: number, missing: string): Promise<T> {
   let timer: NodeJS.Timeout | undefined
   const late = new Promise<never>((resolve, reject) => {
     timer = setTimeout(() => { reject(new Error(`${missing} within ${Math.round(ms)} ms`)) }, ms)
--- a/packages/links/src/peerBook.ts
+++ b/packages/links/src/peerLinks.ts
@@ -3,7 +3,7 @@
 import * as links from './link.js'
 
 /** The links of one process. */
-export interface PeerBook {
+export interface PeerLinks {
   /** @returns an open link to a peer, dialling if there is none. @throws Error when it cannot be reached */
   get (id: string, address: string): Promise<links.Link>
   /** @returns an open link to a peer, or undefined */
@@ -19,7 +19,7 @@
  * @param cfg who we are and what to do with traffic
  * @returns the book
  */
-export function createPeerBook (cfg: connect.LinkSettings): PeerBook {
+export function createPeerLinks (cfg: connect.LinkSettings): PeerLinks {
   const open = new Map<string, links.Link>()
   const dialling = new Map<string, Promise<links.Link>>()
   let isClosed = false
--- a/packages/links/src/streams.ts
+++ b/packages/links/src/streams.ts
@@ -26,7 +26,7 @@
  * @param onError told of what a turn throws
  * @returns the stop
  */
-export function runEvery (intervalMs: number, work: () => Promise<void> | void, onError: (err: unknown) => void): () => void {
+export function startPeriodic (intervalMs: number, work: () => Promise<void> | void, onError: (err: unknown) => void): () => void {
   const stop = createSubject<null>()
   let isBusy = false
   const turn = async (): Promise<void> => {
--- a/packages/membership/__tests__/views.test.ts
+++ b/packages/membership/__tests__/views.test.ts
@@ -65,7 +65,7 @@
   t.is(views.number(), 2)
 })
 
-const entry = (seq: number, state: contracts.EndpointEntry['state'] = 'ready', boot = 1): contracts.EndpointEntry => ({ id: 'e', service: 's', zone: 'z', address: '127.0.0.1:1', boot, seq, state, slots: 1, weight: 1, models: [], checksFencing: false })
+const entry = (seq: number, state: contracts.EndpointRecord['state'] = 'ready', boot = 1): contracts.EndpointRecord => ({ id: 'e', service: 's', zone: 'z', address: '127.0.0.1:1', boot, seq, state, slots: 1, weight: 1, models: [], checksFencing: false })
 
 // News of an endpoint arrives late and crossed. The endpoint's own numbers decide, never the order of arrival.
 test('late news of an endpoint changes nothing', t => {
--- a/packages/membership/src/controlClient.ts
+++ b/packages/membership/src/controlClient.ts
@@ -42,7 +42,7 @@
  */
 export function createControlClient (opts: ControlClientOptions): ControlClient {
   const leaders = new Map<Group, string>()
-  const book = links.createPeerBook({
+  const book = links.createPeerLinks({
     ...opts,
     handlers: {
       onEvent: body => {
--- a/packages/membership/src/endpointTable.ts
+++ b/packages/membership/src/endpointTable.ts
@@ -3,21 +3,21 @@
 
 /** The endpoints that an instance has heard of. */
 export interface EndpointTable {
-  get (id: string): contracts.EndpointEntry | undefined
+  get (id: string): contracts.EndpointRecord | undefined
   /** @returns all entries, those of endpoints that went away among them */
-  all (): IterableIterator<contracts.EndpointEntry>
+  all (): IterableIterator<contracts.EndpointRecord>
   /** @returns the entries of a pool that are ready and carry a model; the same array until something changes */
-  ready (service: string, model?: string): readonly contracts.EndpointEntry[]
+  ready (service: string, model?: string): readonly contracts.EndpointRecord[]
   /** @returns the entries of a pool that are leaving */
-  leaving (service: string): readonly contracts.EndpointEntry[]
+  leaving (service: string): readonly contracts.EndpointRecord[]
   /** Takes an entry if it is newer. @returns whether it was */
-  merge (entry: contracts.EndpointEntry): boolean
+  merge (entry: contracts.EndpointRecord): boolean
   /** @returns one number for the whole table */
   digest (): number
   /** @returns one number a bucket; equal tables have equal digests */
   digests (): number[]
   /** @returns the entries of buckets whose digest differs */
-  differing (digests: readonly number[]): contracts.EndpointEntry[]
+  differing (digests: readonly number[]): contracts.EndpointRecord[]
   /** Grows with each change; lets readers keep what they derived. */
   version (): number
   /** Forgets endpoints that went away long ago. */
@@ -28,25 +28,25 @@
 const BUCKETS = 32
 const FORGET_GONE_MS = 600_000
 /** At equal numbers the graver state wins: nothing comes back without a newer announcement. */
-const GRAVITY: Record<contracts.EndpointEntry['state'], number> = { ready: 0, leaving: 1, gone: 2 }
+const GRAVITY: Record<contracts.EndpointRecord['state'], number> = { ready: 0, leaving: 1, gone: 2 }
 
 /**
  * Creates an empty table.
  * @returns the table
  */
 export function createEndpointTable (): EndpointTable {
-  const entries = new Map<string, contracts.EndpointEntry>()
+  const entries = new Map<string, contracts.EndpointRecord>()
   const goneSince = new Map<string, number>()
   const digests = new Array<number>(BUCKETS).fill(0)
-  const lists = new Map<string, readonly contracts.EndpointEntry[]>()
+  const lists = new Map<string, readonly contracts.EndpointRecord[]>()
   let version = 0
 
-  const toggle = (entry: contracts.EndpointEntry): void => {
+  const toggle = (entry: contracts.EndpointRecord): void => {
     const bucket = toBucket(entry.id)
     digests[bucket] = (digests[bucket] ^ contracts.hash32(`${entry.id} ${entry.boot} ${entry.seq} ${entry.state}`)) >>> 0
   }
 
-  const set = (entry: contracts.EndpointEntry): void => {
+  const set = (entry: contracts.EndpointRecord): void => {
     const known = entries.get(entry.id)
     if (known !== undefined) toggle(known)
     entries.set(entry.id, entry)
@@ -57,7 +57,7 @@
     else goneSince.delete(entry.id)
   }
 
-  const listOnce = (key: string, accepts: (entry: contracts.EndpointEntry) => boolean): readonly contracts.EndpointEntry[] => {
+  const listOnce = (key: string, accepts: (entry: contracts.EndpointRecord) => boolean): readonly contracts.EndpointRecord[] => {
     const known = lists.get(key)
     if (known !== undefined) return known
     const list = [...entries.values()].filter(accepts)
@@ -97,7 +97,7 @@
   return contracts.hash32(id, 7) % BUCKETS
 }
 
-function isNewer (entry: contracts.EndpointEntry, known: contracts.EndpointEntry): boolean {
+function isNewer (entry: contracts.EndpointRecord, known: contracts.EndpointRecord): boolean {
   if (entry.boot !== known.boot) return entry.boot > known.boot
   if (entry.seq !== known.seq) return entry.seq > known.seq
   return GRAVITY[entry.state] > GRAVITY[known.state]
--- a/packages/membership/src/gossip.ts
+++ b/packages/membership/src/gossip.ts
@@ -21,7 +21,7 @@
 /** The spreading of endpoint entries. */
 export interface Gossip {
   /** Takes an entry and spreads it if it was news. @returns whether it was */
-  learn (entry: contracts.EndpointEntry): boolean
+  learn (entry: contracts.EndpointRecord): boolean
   /** Answers a peer. */
   onCall (msg: Extract<contracts.PeerCall, { t: 'gossip' }>): contracts.PeerReply
   stop (): void
@@ -47,7 +47,7 @@
   let allowance = budget
   let ticks = 0
 
-  const learn = (entry: contracts.EndpointEntry): boolean => {
+  const learn = (entry: contracts.EndpointRecord): boolean => {
     if (!opts.table.merge(entry)) return false
     news.delete(entry.id)
     news.set(entry.id, NEWS_FANOUT)
@@ -55,8 +55,8 @@
   }
 
   /** Newest news first, as many as the budget allows. */
-  const takeNews = (): contracts.EndpointEntry[] => {
-    const list: contracts.EndpointEntry[] = []
+  const takeNews = (): contracts.EndpointRecord[] => {
+    const list: contracts.EndpointRecord[] = []
     for (const id of [...news.keys()].reverse()) {
       if (allowance < ENTRY_BYTES) break
       const entry = opts.table.get(id)
@@ -89,8 +89,8 @@
     if (reply.t === 'gossip') reply.entries.forEach(learn)
   }
 
-  const stop = links.runEvery(TICK_MS, turn, () => {})
-  const stopSweep = links.runEvery(30_000, () => { opts.table.sweep(performance.now()) }, () => {})
+  const stop = links.startPeriodic(TICK_MS, turn, () => {})
+  const stopSweep = links.startPeriodic(30_000, () => { opts.table.sweep(performance.now()) }, () => {})
 
   return {
     learn,
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -91,10 +91,10 @@
   }
 
   const control = controlClient.createControlClient({
-    who: { role: 'router', id: opts.instance.id },
+    identity: { role: 'router', id: opts.instance.id },
     secret: opts.secret,
     log: opts.log,
-    count: opts.count,
+    countBytes: opts.count,
     controls: opts.controls,
     onEvent: msg => { takeEvent(msg) }
   })
@@ -179,7 +179,7 @@
     return views.find(opts.instance.id)?.incarnation === incarnation
   }
 
-  const stopRenewing = links.runEvery(contracts.LEASE_RENEW_MS, renew, () => { noteServing() })
+  const stopRenewing = links.startPeriodic(contracts.LEASE_RENEW_INTERVAL_MS, renew, () => { noteServing() })
   // Not before the caller holds what this returns: the first renewal asks it for its loads.
   setImmediate(() => { renew().catch(() => {}) })
 
--- a/packages/router/src/attempts.ts
+++ b/packages/router/src/attempts.ts
@@ -45,7 +45,7 @@
 /** What attempts are built from. */
 export interface AttemptsOptions {
   selfId: string
-  peers: links.PeerBook
+  peers: links.PeerLinks
   /** The owner role of this same instance. */
   dispatchHere (msg: contracts.Dispatch, sink: Sink): void
   cancelHere (attempt: string): { reached: boolean }
@@ -72,7 +72,7 @@
 
   const startThere = async (owner: contracts.Instance, msg: contracts.Dispatch, mailbox: Mailbox): Promise<() => void> => {
     const link = await opts.peers.get(owner.id, owner.peer)
-    const release = link.hold()
+    const release = link.markBusy()
     void link.closed.then(() => { mailbox.put({ t: 'linkLost' }) })
     link.send(msg)
     return release
--- a/packages/router/src/cacheFinder.ts
+++ b/packages/router/src/cacheFinder.ts
@@ -13,7 +13,7 @@
   /** Endpoints by rendezvous rank: the chat's home first. */
   ranked: readonly string[]
   /** Endpoints that may run it. */
-  candidates: readonly contracts.EndpointEntry[]
+  candidates: readonly contracts.EndpointRecord[]
 }
 
 /** Finds caches. */
--- a/packages/router/src/endpointNews.ts
+++ b/packages/router/src/endpointNews.ts
@@ -42,7 +42,7 @@
   }
 }
 
-function toEntry (announcement: contracts.Announcement): contracts.EndpointEntry {
+function toEntry (announcement: contracts.Announcement): contracts.EndpointRecord {
   return {
     id: announcement.endpoint,
     service: announcement.service,
--- a/packages/router/src/engineStream.ts
+++ b/packages/router/src/engineStream.ts
@@ -21,7 +21,7 @@
 
 /** What running a stream needs. */
 export interface StreamOptions {
-  lease: links.Lease
+  lease: links.EndpointConnection
   session: session.Session
   /** Header of the resume: the last event that arrived, as the event-stream standard has it. */
   lastEvent: string | undefined
@@ -47,7 +47,7 @@
     else end = { kind: 'cut', detail: err instanceof Error ? err.message : String(err) }
   } finally {
     watch.stop()
-    if (end.kind === 'whole') lease.giveBack()
+    if (end.kind === 'whole') lease.release()
     else lease.destroy()
   }
   return end
@@ -157,10 +157,10 @@
   let isSilent = false
   let touchedAt = performance.now()
   const timer = setInterval(() => {
-    if (performance.now() - touchedAt < contracts.STREAM_SILENT_MS) return
+    if (performance.now() - touchedAt < contracts.STREAM_IDLE_TIMEOUT_MS) return
     isSilent = true
     inner.abort()
-  }, contracts.STREAM_SILENT_MS / 5)
+  }, contracts.STREAM_IDLE_TIMEOUT_MS / 5)
   const onAbort = (): void => { inner.abort() }
   if (outer.aborted) inner.abort()
   outer.addEventListener('abort', onAbort, { once: true })
--- a/packages/router/src/execution.ts
+++ b/packages/router/src/execution.ts
@@ -56,7 +56,7 @@
     if (lease === undefined) return endLost(opts, await judge(opts), 'the endpoint cannot be connected to')
     const obstacle = checkDispatch(opts)
     if (obstacle !== undefined) {
-      lease.giveBack()
+      lease.release()
       return obstacle
     }
     // One event is asked for again: it may be the finish, which this owner must have seen itself.
@@ -80,7 +80,7 @@
         return { kind: 'ended' }
       case 'silent':
         opts.log.event('streamSilent', { endpoint: endpoint.id, request: session.msg.request })
-        endpoint.client.distrust()
+        endpoint.client.closeIdle()
         break
       case 'cut':
       case 'crossed':
@@ -107,7 +107,7 @@
     if (lease === undefined) return endLost(opts, await judge(opts), 'the endpoint cannot be connected to')
     const obstacle = checkDispatch(opts)
     if (obstacle !== undefined) {
-      lease.giveBack()
+      lease.release()
       return obstacle
     }
     const end = await plainCall.runPlainCall(lease, session, timeoutMs)
@@ -117,7 +117,7 @@
       return { kind: 'ended' }
     }
     if (session.abort.signal.aborted) return { kind: 'ended' }
-    if (end.kind === 'silent') endpoint.client.distrust()
+    if (end.kind === 'silent') endpoint.client.closeIdle()
     session.isBroken = true
     const verdict = await judge(opts)
     session.isBroken = false
@@ -125,9 +125,9 @@
   }
 }
 
-async function connect (opts: ExecutionOptions, isFresh: boolean): Promise<links.Lease | undefined> {
+async function connect (opts: ExecutionOptions, isFresh: boolean): Promise<links.EndpointConnection | undefined> {
   try {
-    return await opts.endpoint.client.borrow(isFresh)
+    return await opts.endpoint.client.acquire(isFresh)
   } catch {
     return undefined
   }
--- a/packages/router/src/ledgerClient.ts
+++ b/packages/router/src/ledgerClient.ts
@@ -10,7 +10,7 @@
 /** The ledger as an entry instance uses it. */
 export interface LedgerClient {
   /** Records the start. @throws ControlError when no quorum confirmed it; the call must not be dispatched then */
-  begin (key: LedgerKey, hash: string): Promise<contracts.LedgerState>
+  begin (key: LedgerKey, hash: string): Promise<contracts.LedgerKeyState>
   /** Records the answer, trying on for a while. @returns whether it is recorded */
   finish (key: LedgerKey, answer: contracts.StoredAnswer | null): Promise<boolean>
   /** Takes the start back, when it is certain that the call did not run. */
@@ -31,7 +31,7 @@
 export function createLedgerClient (control: membership.ControlClient, groups: number, log: telemetry.Log): LedgerClient {
   const toGroup = (key: LedgerKey): number => contracts.hash32(`${key.account}\n${key.key}`, 3) % groups
 
-  const call = async (key: LedgerKey, msg: contracts.ControlCall, timeoutMs: number): Promise<contracts.LedgerState> => {
+  const call = async (key: LedgerKey, msg: contracts.ControlCall, timeoutMs: number): Promise<contracts.LedgerKeyState> => {
     const reply = await control.call(`ledger-${toGroup(key)}`, msg, timeoutMs)
     if (reply.t !== 'ledger') throw new membership.ControlError(`the ledger answered ${reply.t}`)
     return reply.state
--- a/packages/router/src/ownedEndpoint.ts
+++ b/packages/router/src/ownedEndpoint.ts
@@ -53,7 +53,7 @@
     id,
     announcement: undefined,
     heardAt: -Infinity,
-    intervalMs: contracts.ANNOUNCE_MS,
+    intervalMs: contracts.ANNOUNCE_INTERVAL_MS,
     client: links.createEndpointClient(`http://${address}`),
     address,
     sessions: new Set(),
@@ -92,7 +92,7 @@
   const before = endpoint.announcement
   const address = `${announcement.host}:${announcement.port}`
   if (address !== endpoint.address) {
-    endpoint.client.distrust()
+    endpoint.client.closeIdle()
     endpoint.client = links.createEndpointClient(`http://${address}`)
     endpoint.address = address
   }
@@ -129,7 +129,7 @@
  * @returns whether it must be taken for gone
  */
 export function isSilent (endpoint: OwnedEndpoint): boolean {
-  return performance.now() - endpoint.heardAt > contracts.ANNOUNCE_SILENT_INTERVALS * endpoint.intervalMs
+  return performance.now() - endpoint.heardAt > contracts.ANNOUNCE_TIMEOUT_INTERVALS * endpoint.intervalMs
 }
 
 /**
--- a/packages/router/src/owner.ts
+++ b/packages/router/src/owner.ts
@@ -54,7 +54,7 @@
   /** Ends the wait of everything queued on an endpoint. */
   declineQueue (endpoint: ownedEndpoint.OwnedEndpoint, reason: contracts.DeclineReason): void
   /** @returns the endpoints that announce themselves here, for operators */
-  toStatus (): contracts.OwnedStatus[]
+  toStatus (): contracts.EndpointStatus[]
   /** @returns what is in flight, per pool */
   loads (): contracts.PoolLoad[]
   /** @returns requests in flight or queued */
@@ -276,7 +276,7 @@
       news.noteAnnouncement(announcement)
       if (announcement.state === 'leaving') declineQueue(endpoint, 'unready')
       else pump(endpoint)
-      endpoint.intervalMs = Math.max(contracts.ANNOUNCE_MS, countOwned() * contracts.ANNOUNCE_BYTES / contracts.ANNOUNCE_BYTES_PER_SECOND * 1000)
+      endpoint.intervalMs = Math.max(contracts.ANNOUNCE_INTERVAL_MS, countOwned() * contracts.ANNOUNCE_BYTES / contracts.ANNOUNCE_BUDGET_BYTES_PER_SECOND * 1000)
       return endpoint.intervalMs
     },
     notePlace: places.note,
--- a/packages/router/src/ownerTasks.ts
+++ b/packages/router/src/ownerTasks.ts
@@ -33,8 +33,8 @@
 export function startOwnerTasks (opts: OwnerTaskOptions): () => void {
   const heardOf = new Map<string, number>()
   const stops = [
-    links.runEvery(SWEEP_MS, () => { sweep(opts, heardOf) }, () => {}),
-    links.runEvery(ORDER_CHECK_MS, async () => { await sendOrders(opts) }, () => {})
+    links.startPeriodic(SWEEP_MS, () => { sweep(opts, heardOf) }, () => {}),
+    links.startPeriodic(ORDER_CHECK_MS, async () => { await sendOrders(opts) }, () => {})
   ]
   const views = opts.member.viewNumbers.observe(() => { handOver(opts) })
   const pools = opts.member.poolNews.observe(() => { for (const endpoint of opts.owner.endpoints.values()) opts.owner.pump(endpoint) })
@@ -111,14 +111,14 @@
  * @param announcement the engine
  * @returns the wanted models, or undefined where the document says nothing
  */
-export function toWanted (doc: contracts.Document, announcement: contracts.Announcement): contracts.Carried[] | undefined {
+export function toWanted (doc: contracts.Document, announcement: contracts.Announcement): contracts.ServedModel[] | undefined {
   const entries = Object.values(doc.carriages).filter(item => item.service === announcement.service)
   const entry = entries.find(item => item.engine === announcement.endpoint) ?? entries.find(item => item.engine === '*')
   return entry?.models.map(id => ({ model: id, adapter: doc.models[id].adapter, version: doc.models[id].version }))
 }
 
-function isSame (wanted: contracts.Carried[], carried: contracts.Carried[]): boolean {
-  const toText = (list: contracts.Carried[]): string => list.map(item => `${item.model} ${item.adapter} ${item.version}`).sort().join('\n')
+function isSame (wanted: contracts.ServedModel[], carried: contracts.ServedModel[]): boolean {
+  const toText = (list: contracts.ServedModel[]): string => list.map(item => `${item.model} ${item.adapter} ${item.version}`).sort().join('\n')
   return toText(wanted) === toText(carried)
 }
 
--- a/packages/router/src/placing.ts
+++ b/packages/router/src/placing.ts
@@ -124,7 +124,7 @@
 
   const noteLoad = (endpoint: string, load: number): void => { reported.set(endpoint, { load, at: performance.now() }) }
 
-  const toCandidates = (request: PlacingRequest): readonly contracts.EndpointEntry[] => {
+  const toCandidates = (request: PlacingRequest): readonly contracts.EndpointRecord[] => {
     const ready = table.ready(request.service, request.model)
     if (request.excluded.size === 0) return ready
     const fresh = ready.filter(entry => !request.excluded.has(entry.id))
--- a/packages/router/src/plainCall.ts
+++ b/packages/router/src/plainCall.ts
@@ -16,7 +16,7 @@
  * @param timeoutMs after this long without the whole answer the connection counts as silent
  * @returns how it ended; the connection is given back only after a whole answer
  */
-export async function runPlainCall (lease: links.Lease, session: session.Session, timeoutMs: number): Promise<CallEnd> {
+export async function runPlainCall (lease: links.EndpointConnection, session: session.Session, timeoutMs: number): Promise<CallEnd> {
   const { msg } = session
   if (msg.work.kind !== 'plain') throw new Error('not a plain call')
   const { signal } = session.abort
@@ -43,7 +43,7 @@
       lease.destroy()
       return { kind: 'cut', detail: `asked as ${msg.attempt}, answered as ${String(echoed)}` }
     }
-    lease.giveBack()
+    lease.release()
     return { kind: 'answer', status: res.statusCode, contentType: String(res.headers['content-type'] ?? 'application/octet-stream'), body }
   } catch (err) {
     lease.destroy()
--- a/packages/router/src/plainEntry.ts
+++ b/packages/router/src/plainEntry.ts
@@ -113,7 +113,7 @@
   }
 }
 
-async function askLedger (ctx: context.EntryContext, entry: ledgerClient.LedgerKey, hash: string): Promise<contracts.LedgerState> {
+async function askLedger (ctx: context.EntryContext, entry: ledgerClient.LedgerKey, hash: string): Promise<contracts.LedgerKeyState> {
   try {
     return await ctx.ledger.begin(entry, hash)
   } catch {
--- a/packages/router/src/poolLoads.ts
+++ b/packages/router/src/poolLoads.ts
@@ -14,7 +14,7 @@
   /** @returns what this instance has in flight, per pool */
   toPoolLoads (): contracts.PoolLoad[]
   /** @returns the endpoints that announce themselves here */
-  toStatus (): contracts.OwnedStatus[]
+  toStatus (): contracts.EndpointStatus[]
 }
 
 /** What loads are worked out from. */
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -85,13 +85,13 @@
   const count = createByteCounter(metrics)
 
   const linkSettings: links.LinkSettings = {
-    who: { role: 'router', id: opts.id },
+    identity: { role: 'router', id: opts.id },
     secret: opts.secret,
     log,
-    count,
+    countBytes: count,
     handlers: { onEvent: (body, link) => { onEvent(body, link) }, onCall: async body => await onCall(body) }
   }
-  const peers = links.createPeerBook(linkSettings)
+  const peers = links.createPeerLinks(linkSettings)
   const peerServer = await links.listen(opts.peerListen, linkSettings, link => { peers.add(link) })
   const peerAddress = opts.advertisePeer ?? `${links.parseAddress(opts.peerListen).host}:${peerServer.port}`
 
@@ -162,7 +162,7 @@
   const handle = servers.createHandler({ ctx, auth: auths.createAuth(() => member.document()), log, table, owner, explain: async requestId => await explain(requestId) })
 
   const stopTasks = ownerTasks.startOwnerTasks({ owner, member, table, gossip, log, invariants, sendTo })
-  const stopSuspects = links.runEvery(SUSPECT_NEWS_MS, remindOfSuspects, () => {})
+  const stopSuspects = links.startPeriodic(SUSPECT_NEWS_MS, remindOfSuspects, () => {})
 
   const onEvent = (body: unknown, link: links.Link): void => {
     const msg = parseEvent(body)
@@ -222,7 +222,7 @@
       log.event('stopping', { inFlight: owner.inFlight() })
       await member.beginLeaving()
       // Callers keep old addresses until these expire, so the instance serves on until then.
-      await wait(contracts.ADDRESS_MAX_AGE_MS + contracts.LEASE_RENEW_MS)
+      await wait(contracts.ADDRESS_MAX_AGE_MS + contracts.LEASE_RENEW_INTERVAL_MS)
       await server.close()
       while (owner.inFlight() > 0) await wait(DRAIN_LOOK_MS)
       await member.leave()
@@ -248,7 +248,7 @@
   const counters = new Map<string, { inc (value: number): void }>()
   const create = (direction: 'in' | 'out', tag: string): { inc (value: number): void } => {
     const group = DATA_MESSAGES.has(tag) ? 'data' : LEDGER_MESSAGES.has(tag) ? 'ledger' : 'control'
-    return metrics.controlBytes.labels({ direction, class: group, message: tag })
+    return metrics.linkBytes.labels({ direction, class: group, message: tag })
   }
   // Hot path: one call for each frame.
   return (direction, bytes, body) => {
--- a/packages/router/src/server.ts
+++ b/packages/router/src/server.ts
@@ -205,7 +205,7 @@
   }
   const place = { id: announcement.endpoint, zone: announcement.zone }
   const next = ctx.member.views.ownerOf(place)
-  const intervalMs = next?.id === ctx.member.self().id ? owner.takeAnnouncement(announcement, 0) : contracts.ANNOUNCE_MS
+  const intervalMs = next?.id === ctx.member.self().id ? owner.takeAnnouncement(announcement, 0) : contracts.ANNOUNCE_INTERVAL_MS
   const reply: contracts.AnnouncementReply = { owner: next?.url ?? null, intervalMs: Math.round(intervalMs) }
   helpers.sendJson(exchange, 200, reply)
 }
--- a/packages/state/__tests__/machines.test.ts
+++ b/packages/state/__tests__/machines.test.ts
@@ -7,8 +7,8 @@
 const HOUR = 3_600_000
 const DAY = 24 * HOUR
 
-function begin (ledger: state.LedgerMachine, key: string, keyMs: number, atMs: number, more: Partial<Extract<state.LedgerCommand, { t: 'begin' }>> = {}): contracts.LedgerState {
-  return ledger.apply({ t: 'begin', account: 'a', key, attempt: `${key}-1`, keyMs, hash: 'h', retentionMs: DAY, ...more }, { index: 1, atMs }) as contracts.LedgerState
+function begin (ledger: state.LedgerMachine, key: string, keyMs: number, atMs: number, more: Partial<Extract<state.LedgerCommand, { t: 'begin' }>> = {}): contracts.LedgerKeyState {
+  return ledger.apply({ t: 'begin', account: 'a', key, attempt: `${key}-1`, keyMs, hash: 'h', retentionMs: DAY, ...more }, { index: 1, atMs }) as contracts.LedgerKeyState
 }
 
 test('a repeat gets the same answer', t => {
--- a/packages/state/src/ledgerMachine.ts
+++ b/packages/state/src/ledgerMachine.ts
@@ -74,7 +74,7 @@
     }
   }
 
-  const begin = (cmd: Extract<LedgerCommand, { t: 'begin' }>): contracts.LedgerState => {
+  const begin = (cmd: Extract<LedgerCommand, { t: 'begin' }>): contracts.LedgerKeyState => {
     // Guards against running a call again after its record was evicted: the line up to which keys may be forgotten only
     // moves forward, and every key behind it is refused, also after the retention was made longer.
     forgottenBeforeMs = Math.max(forgottenBeforeMs, nowMs - cmd.retentionMs)
--- a/packages/state/src/replicaOptions.ts
+++ b/packages/state/src/replicaOptions.ts
@@ -32,7 +32,7 @@
 }
 
 /** That of a fleet's control instances. */
-export const DEFAULT_TIMING: ReplicaTiming = { heartbeatMs: contracts.HEARTBEAT_MS, electionMinMs: contracts.ELECTION_MIN_MS, electionMaxMs: contracts.ELECTION_MAX_MS }
+export const DEFAULT_TIMING: ReplicaTiming = { heartbeatMs: contracts.HEARTBEAT_INTERVAL_MS, electionMinMs: contracts.ELECTION_TIMEOUT_MIN_MS, electionMaxMs: contracts.ELECTION_TIMEOUT_MAX_MS }
 
 /** What a replica is built from. */
 export interface ReplicaOptions {
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -2,10 +2,10 @@
 import * as prom from 'prom-client'
 
 const SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.37, 0.5, 1, 2, 5, 10, 30, 60]
-/** How many client accounts get a label of their own; the rest share {@link OTHER}. At the size we design for: 3,200. */
+/** How many client accounts get a label of their own; the rest share {@link OTHER_LABEL}. At the size we design for: 3,200. */
 const MAX_ACCOUNT_LABELS = 200
 /** Label of the client accounts beyond the bound. */
-export const OTHER = 'other'
+export const OTHER_LABEL = 'other'
 
 /** The metrics of a router instance. */
 export interface RouterMetrics {
@@ -17,7 +17,7 @@
   requests: prom.Counter<'account' | 'outcome'>
   attempts: prom.Counter<'outcome'>
   promptTokens: prom.Counter<'cached'>
-  controlBytes: prom.Counter<'direction' | 'class' | 'message'>
+  linkBytes: prom.Counter<'direction' | 'class' | 'message'>
   imports: prom.Counter<'outcome'>
   toAccountLabel: (account: string) => string
 }
@@ -39,7 +39,7 @@
     requests: new prom.Counter({ name: 'kingcupdeck_requests_total', help: 'Requests by client account and outcome', labelNames: ['account', 'outcome'], registers }),
     attempts: new prom.Counter({ name: 'kingcupdeck_attempts_total', help: 'Attempts at endpoints by outcome', labelNames: ['outcome'], registers }),
     promptTokens: new prom.Counter({ name: 'kingcupdeck_prompt_tokens_total', help: 'Prompt tokens, found in an engine\'s cache or not', labelNames: ['cached'], registers }),
-    controlBytes: new prom.Counter({ name: 'kingcupdeck_link_bytes_total', help: 'Bytes on links between instances, by direction, class and message', labelNames: ['direction', 'class', 'message'], registers }),
+    linkBytes: new prom.Counter({ name: 'kingcupdeck_link_bytes_total', help: 'Bytes on links between instances, by direction, class and message', labelNames: ['direction', 'class', 'message'], registers }),
     imports: new prom.Counter({ name: 'kingcupdeck_kv_imports_total', help: 'KV cache imports ordered, by outcome', labelNames: ['outcome'], registers }),
     toAccountLabel: createBoundedLabels(MAX_ACCOUNT_LABELS)
   }
@@ -54,7 +54,7 @@
   const known = new Set<string>()
   return value => {
     if (known.has(value)) return value
-    if (known.size >= max) return OTHER
+    if (known.size >= max) return OTHER_LABEL
     known.add(value)
     return value
   }
--- a/packages/trials/__tests__/ownership.test.ts
+++ b/packages/trials/__tests__/ownership.test.ts
@@ -67,7 +67,7 @@
     const put = await fetch(`${target}?base=${version}&operation=upgrade`, { method: 'PUT', headers, body: JSON.stringify(document) })
     t.is(put.status, 200)
     await small.until(async () => {
-      const all = await Promise.all(fleet.engines.map(async engine => await fetch(`http://127.0.0.1:${engine.port}/stats`).then(async res => await res.json() as { carries: contracts.Carried[] })))
+      const all = await Promise.all(fleet.engines.map(async engine => await fetch(`http://127.0.0.1:${engine.port}/stats`).then(async res => await res.json() as { carries: contracts.ServedModel[] })))
       return all.every(stats => stats.carries.some(item => item.model === 'frame-assistant' && item.version === '4'))
     })
     for (const engine of fleet.engines) {
--- a/packages/trials/src/benchRun.ts
+++ b/packages/trials/src/benchRun.ts
@@ -138,7 +138,7 @@
 }
 
 async function readControlBytes (): Promise<number> {
-  const values = await Promise.all(fleet.routers.map(async router => (await router.metrics.controlBytes.get()).values))
+  const values = await Promise.all(fleet.routers.map(async router => (await router.metrics.linkBytes.get()).values))
   return values.flat().filter(item => item.labels.class === 'control').reduce((sum, item) => sum + item.value, 0)
 }
 
@@ -146,7 +146,7 @@
 async function readBytesByMessage (): Promise<Record<string, number>> {
   const sums: Record<string, number> = {}
   for (const router of fleet.routers) {
-    for (const item of (await router.metrics.controlBytes.get()).values) {
+    for (const item of (await router.metrics.linkBytes.get()).values) {
       if (item.labels.class !== 'control') continue
       const key = `${item.labels.direction} ${item.labels.message}`
       sums[key] = Math.round((sums[key] ?? 0) + item.value / fleet.routers.length / input.seconds)
--- a/packages/trials/src/slopes.ts
+++ b/packages/trials/src/slopes.ts
@@ -41,8 +41,8 @@
   return process.memoryUsage().heapUsed
 }
 
-const bytesOf = (body: unknown): number => links.encode([links.FrameKind.event, 1, body]).length
-const entryOf = (i: number): contracts.EndpointEntry => ({ id: `engine-${i}`, service: 'assistant', zone: `zone-${i % 20}`, address: `10.${i % 200}.${i % 100}.7:8000`, boot: 1764720000000, seq: 3000 + i, state: 'ready', slots: 16, weight: 1, models: ['frame-assistant', 'archive-tagger'], checksFencing: true })
+const bytesOf = (body: unknown): number => links.encodeFrame([links.FrameKind.event, 1, body]).length
+const entryOf = (i: number): contracts.EndpointRecord => ({ id: `engine-${i}`, service: 'assistant', zone: `zone-${i % 20}`, address: `10.${i % 200}.${i % 100}.7:8000`, boot: 1764720000000, seq: 3000 + i, state: 'ready', slots: 16, weight: 1, models: ['frame-assistant', 'archive-tagger'], checksFencing: true })
 
 /* Tables in memory. */
 
@@ -170,7 +170,7 @@
 note('lease renewal, wire both ways', 'bytes a renewal', leaseBytes)
 for (const member of members) member.stop()
 
-const client = membership.createControlClient({ who: { role: 'tool', id: 'slopes' }, secret: SECRET, log: silentLog, controls, onEvent: () => {} })
+const client = membership.createControlClient({ identity: { role: 'tool', id: 'slopes' }, secret: SECRET, log: silentLog, controls, onEvent: () => {} })
 const ledgerCpu: Point[] = []
 const ledgerDisk: Point[] = []
 const logFile = path.join(control.dataFolder, 'ledger-0')
--- a/packages/trials/src/standIn/announcer.ts
+++ b/packages/trials/src/standIn/announcer.ts
@@ -30,7 +30,7 @@
   const loads: number[] = []
   let seq = 0
   let owner: string | undefined
-  let intervalMs = contracts.ANNOUNCE_MS
+  let intervalMs = contracts.ANNOUNCE_INTERVAL_MS
   let next = Math.floor(Math.random() * Math.max(1, opts.routers.length))
   const stopping = new AbortController()
 
@@ -70,7 +70,7 @@
   const run = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       await announceNow()
-      await new Promise(resolve => setTimeout(resolve, owner === undefined ? contracts.ANNOUNCE_MS / 4 : intervalMs))
+      await new Promise(resolve => setTimeout(resolve, owner === undefined ? contracts.ANNOUNCE_INTERVAL_MS / 4 : intervalMs))
     }
   }
   void run()
--- a/packages/trials/src/standIn/engineServer.ts
+++ b/packages/trials/src/standIn/engineServer.ts
@@ -29,7 +29,7 @@
   /** Time the weight store takes for one model. */
   modelLoadMs: number
   /** What it carries before any order. */
-  carries: contracts.Carried[]
+  carries: contracts.ServedModel[]
   /** Ends the process, or what stands for it in a test; called by a request that crashes the engine. */
   crash (): void
 }
@@ -224,7 +224,7 @@
       model.cancel(running.job)
       attempts.delete(attempt)
     }
-  }, contracts.STREAM_KEEPALIVE_MS)
+  }, contracts.STREAM_KEEPALIVE_INTERVAL_MS)
 
   const announcing = announcer.startAnnouncer({
     routers: opts.routers,
