--- a/packages/control/src/replicaGroups.ts
+++ b/packages/control/src/replicaGroups.ts
@@ -46,17 +46,17 @@
   return await state.createReplica({
     group,
     name: opts.id,
-    names: opts.controls.map(control => control.id),
+    founderNames: opts.controls.map(control => control.id),
     storage: await state.createFileStorage(path.join(opts.dataFolder, group)),
     transport: createTransport(opts, group),
-    machine,
+    stateMachine: machine,
     clock: state.systemClock,
     random: Math.random,
     createIncarnation: () => crypto.randomUUID(),
     log: opts.log,
     invariants: opts.invariants,
     snapshotEvery: opts.snapshotEvery,
-    onLeadership
+    onLeadershipChange: onLeadership
   })
 }
 
--- a/packages/coordination/src/documentStore.ts
+++ b/packages/coordination/src/documentStore.ts
@@ -150,15 +150,15 @@
     return await state.createReplica({
       group: GROUP,
       name: opts.self,
-      names: opts.founders,
-      mayFound: opts.mayFound,
+      founderNames: opts.founders,
+      canBootstrap: opts.mayFound,
       contacts: opts.contacts,
-      isOpen: true,
+      isDynamic: true,
       timing: TIMING,
       minVoters: Math.max(3, 2 * opts.lostDisks + 1),
       storage: await state.createFileStorage(path.join(opts.dataFolder, GROUP)),
       transport,
-      machine,
+      stateMachine: machine,
       clock: state.systemClock,
       random: Math.random,
       createIncarnation: () => crypto.randomUUID().slice(0, 8),
@@ -191,7 +191,7 @@
 
   const readHere = async (timeoutMs: number): Promise<contracts.VersionedText | null> => {
     if (replica === undefined) throw new Error('the replica is being restarted')
-    await replica.confirm(timeoutMs)
+    await replica.confirmLeadership(timeoutMs)
     return machine.held()
   }
 
@@ -251,7 +251,7 @@
         }
       }
     },
-    isCurrent: () => replica !== undefined && performance.now() - replica.heardAt() < CURRENT_MS,
+    isCurrent: () => replica !== undefined && performance.now() - replica.lastContactAt() < CURRENT_MS,
     others () {
       const voters = replica?.status().voters.map(id => id.split('#')[0]) ?? []
       if (voters.length > 0) lastVoters = voters
--- a/packages/kingcupdeck/src/settings.ts
+++ b/packages/kingcupdeck/src/settings.ts
@@ -52,7 +52,7 @@
   'advertise-url': setting(z.string().regex(/^https?:\/\/\S+$|^$/), 'a base URL, or nothing', 'Base URL that callers are told; from --listen when empty', { fallback: '' }),
   'advertise-peer': setting(z.union([ipPort, z.literal('')]), 'ip:port, or nothing', 'Address that peers are told; from --peer-listen when empty', { fallback: '' }),
   'max-body-bytes': setting(wholeNumber.pipe(z.number().min(1024).max(15_000_000)), 'a whole number from 1024 to 15000000', 'Largest request body, bytes', { fallback: '4194304' }),
-  policy: setting(z.enum(routing.POLICIES), routing.POLICIES.join(', '), 'Placement policy; all but "owner" are baselines for measurements', { fallback: 'owner' }),
+  policy: setting(z.enum(routing.PLACEMENT_POLICIES), routing.PLACEMENT_POLICIES.join(', '), 'Placement policy; all but "owner" are baselines for measurements', { fallback: 'owner' }),
   'kv-import': setting(flag, 'true or false', 'Let a chat that runs away from its cache take it along', { fallback: 'true' })
 }
 
--- a/packages/membership/__tests__/views.test.ts
+++ b/packages/membership/__tests__/ownership.test.ts
@@ -33,10 +33,10 @@
   const moved = endpoints.filter(item => membership.findOwner([a, b], item)?.id === 'a' && membership.findOwner([a, b, c], item)?.id === 'c')
   const fromB = endpoints.filter(item => membership.findOwner([a, b], item)?.id === 'b' && membership.findOwner([a, b, c], item)?.id === 'c')
   t.true(moved.length > 0 && fromB.length > 0)
-  t.true(moved.every(item => !views.isSettledFor(item)))
-  t.true(fromB.every(item => views.isSettledFor(item)))
+  t.true(moved.every(item => !views.isOwnershipSettled(item)))
+  t.true(fromB.every(item => views.isOwnershipSettled(item)))
   views.apply({ number: 3, changes: [], laggards: [] })
-  t.true(moved.every(item => views.isSettledFor(item)))
+  t.true(moved.every(item => views.isOwnershipSettled(item)))
 })
 
 test('an instance that was removed holds nobody up', t => {
@@ -44,7 +44,7 @@
   const views = membership.createViews()
   views.apply({ number: 2, base: { number: 2, instances: [a, b] }, changes: [], laggards: [{ instance: 'a', seen: 1 }] })
   views.apply({ number: 3, changes: [left(3, a)], laggards: [] })
-  t.true(endpoints.every(item => views.ownerOf(item)?.id === 'b' && views.isSettledFor(item)))
+  t.true(endpoints.every(item => views.ownerOf(item)?.id === 'b' && views.isOwnershipSettled(item)))
 })
 
 // A new control leader knows nothing of what instances have seen, and lists all of them as behind. What was known to be
@@ -54,7 +54,7 @@
   const views = membership.createViews()
   views.apply({ number: 2, base: { number: 2, instances: [a, b] }, changes: [], laggards: [] })
   views.apply({ number: 2, changes: [], laggards: [{ instance: 'a', seen: 1 }, { instance: 'b', seen: 2 }] })
-  t.true(endpoints.every(item => views.isSettledFor(item)))
+  t.true(endpoints.every(item => views.isOwnershipSettled(item)))
 })
 
 test('an older view is not taken', t => {
@@ -84,8 +84,8 @@
   const list = Array.from({ length: 100 }, (_, i) => ({ ...entry(1), id: `e${i}` }))
   list.forEach(left.merge)
   ;[...list].reverse().forEach(right.merge)
-  t.deepEqual(left.digests(), right.digests())
+  t.deepEqual(left.bucketDigests(), right.bucketDigests())
   right.merge({ ...entry(2), id: 'e7' })
-  t.true(right.differing(left.digests()).some(item => item.id === 'e7' && item.seq === 2))
-  t.true(right.differing(left.digests()).length < 20)
+  t.true(right.findDifferences(left.bucketDigests()).some(item => item.id === 'e7' && item.seq === 2))
+  t.true(right.findDifferences(left.bucketDigests()).length < 20)
 })
--- a/packages/membership/src/controlClient.ts
+++ b/packages/membership/src/controlClient.ts
@@ -7,7 +7,7 @@
 export interface ControlAddress { id: string, address: string }
 
 /** Which replica group a call is for. */
-export type Group = 'fleet' | `ledger-${number}`
+export type ReplicaGroup = 'fleet' | `ledger-${number}`
 
 /** Calls to the control instances. */
 export interface ControlClient {
@@ -16,7 +16,7 @@
    * @returns its answer, never `notLeader`
    * @throws ControlError when no leader answered in time; the call may or may not have been obeyed
    */
-  call (group: Group, msg: contracts.ControlCall, timeoutMs: number): Promise<contracts.ControlReply>
+  call (group: ReplicaGroup, msg: contracts.ControlCall, timeoutMs: number): Promise<contracts.ControlReply>
   /** Sends the leader of the fleet's group an event, if a link to it is open. */
   send (msg: contracts.ControlEvent): void
   close (): void
@@ -41,7 +41,7 @@
  * @returns the client
  */
 export function createControlClient (opts: ControlClientOptions): ControlClient {
-  const leaders = new Map<Group, string>()
+  const leaders = new Map<ReplicaGroup, string>()
   const book = links.createPeerLinks({
     ...opts,
     handlers: {
--- a/packages/membership/src/endpointTable.ts
+++ b/packages/membership/src/endpointTable.ts
@@ -15,9 +15,9 @@
   /** @returns one number for the whole table */
   digest (): number
   /** @returns one number a bucket; equal tables have equal digests */
-  digests (): number[]
+  bucketDigests (): number[]
   /** @returns the entries of buckets whose digest differs */
-  differing (digests: readonly number[]): contracts.EndpointRecord[]
+  findDifferences (digests: readonly number[]): contracts.EndpointRecord[]
   /** Grows with each change; lets readers keep what they derived. */
   version (): number
   /** Forgets endpoints that went away long ago. */
@@ -77,8 +77,8 @@
       return true
     },
     digest: () => digests.reduce((sum, digest, bucket) => (sum ^ contracts.hash32(String(digest), bucket)) >>> 0, 0),
-    digests: () => [...digests],
-    differing: theirs => [...entries.values()].filter(entry => digests[toBucket(entry.id)] !== theirs[toBucket(entry.id)]),
+    bucketDigests: () => [...digests],
+    findDifferences: theirs => [...entries.values()].filter(entry => digests[toBucket(entry.id)] !== theirs[toBucket(entry.id)]),
     version: () => version,
     sweep (nowMs) {
       for (const [id, since] of goneSince) {
--- a/packages/membership/src/views.ts
+++ b/packages/membership/src/fleetViews.ts
@@ -14,9 +14,9 @@
   /** Takes an update. @returns whether the view changed */
   apply (update: contracts.ViewUpdate): boolean
   /** @returns the owner of an endpoint in the current view */
-  ownerOf (endpoint: ownership.Owned): contracts.Instance | undefined
+  ownerOf (endpoint: ownership.EndpointLocation): contracts.Instance | undefined
   /** @returns whether nobody but the owner of the current view can still act as owner of this endpoint */
-  isSettledFor (endpoint: ownership.Owned): boolean
+  isOwnershipSettled (endpoint: ownership.EndpointLocation): boolean
 }
 
 interface View { number: number, instances: contracts.Instance[], owners: Map<string, contracts.Instance | undefined> }
@@ -34,7 +34,7 @@
   const seen = new Map<string, number>()
   const current = (): View => views[views.length - 1]
 
-  const ownerIn = (view: View, endpoint: ownership.Owned): contracts.Instance | undefined => {
+  const ownerIn = (view: View, endpoint: ownership.EndpointLocation): contracts.Instance | undefined => {
     if (view.owners.has(endpoint.id)) return view.owners.get(endpoint.id)
     const owner = ownership.findOwner(view.instances, endpoint)
     view.owners.set(endpoint.id, owner)
@@ -80,7 +80,7 @@
       return current().number !== before
     },
     ownerOf: endpoint => ownerIn(current(), endpoint),
-    isSettledFor (endpoint) {
+    isOwnershipSettled (endpoint) {
       const now = current()
       const owner = ownerIn(now, endpoint)
       for (const other of now.instances) {
--- a/packages/membership/src/gossip.ts
+++ b/packages/membership/src/gossip.ts
@@ -21,7 +21,7 @@
 /** The spreading of endpoint entries. */
 export interface Gossip {
   /** Takes an entry and spreads it if it was news. @returns whether it was */
-  learn (entry: contracts.EndpointRecord): boolean
+  merge (entry: contracts.EndpointRecord): boolean
   /** Answers a peer. */
   onCall (msg: Extract<contracts.PeerCall, { t: 'gossip' }>): contracts.PeerReply
   stop (): void
@@ -85,7 +85,7 @@
   /** The tables differ: asks the peer for what lies in the buckets that differ. */
   const compareBuckets = async (peer: contracts.Instance): Promise<void> => {
     allowance -= DIGESTS_BYTES
-    const reply = await opts.call(peer, { t: 'gossip', digests: opts.table.digests(), entries: [] })
+    const reply = await opts.call(peer, { t: 'gossip', digests: opts.table.bucketDigests(), entries: [] })
     if (reply.t === 'gossip') reply.entries.forEach(learn)
   }
 
@@ -93,12 +93,12 @@
   const stopSweep = links.startPeriodic(30_000, () => { opts.table.sweep(performance.now()) }, () => {})
 
   return {
-    learn,
+    merge: learn,
     onCall (msg) {
       msg.entries.forEach(learn)
       if (msg.digests.length === 0) return { t: 'gossip', entries: [], isEqual: true }
       if (msg.digests.length === 1) return { t: 'gossip', entries: [], isEqual: msg.digests[0] === opts.table.digest() }
-      const missing = opts.table.differing(msg.digests)
+      const missing = opts.table.findDifferences(msg.digests)
       const most = Math.max(0, Math.floor(allowance / ENTRY_BYTES))
       const start = missing.length > most ? Math.floor(opts.random() * missing.length) : 0
       const entries = [...missing.slice(start), ...missing.slice(0, start)].slice(0, most)
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -7,25 +7,25 @@
 import * as links from '@kingcupdeck/links'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as controlClient from './controlClient.js'
-import * as viewsOf from './views.js'
+import * as fleetViews from './fleetViews.js'
 
 /** The load of a pool at all other instances, with when it was heard. */
-export interface OthersLoad extends contracts.PoolLoad { heardAt: number }
+export interface RemoteLoad extends contracts.PoolLoad { receivedAt: number }
 
 /** What an instance is to its fleet. */
 export interface Membership {
-  readonly views: viewsOf.Views
+  readonly views: fleetViews.Views
   readonly control: controlClient.ControlClient
   /** @returns this instance as the view names it */
   self (): contracts.Instance
   /** @returns whether the lease lasts, the document is known and the view holds this instance */
   isServing (): boolean
   /** @returns milliseconds of lease left; negative once it ran out */
-  leaseLeftMs (): number
+  leaseRemainingMs (): number
   document (): contracts.Document | null
   documentVersion (): number
   /** @returns what all other instances have in flight on a pool */
-  othersLoad (pool: string): OthersLoad | undefined
+  remoteLoad (pool: string): RemoteLoad | undefined
   /** @returns the share of a client account's traffic that may pass, 1 when it is within its limit */
   accountShare (account: string): number
   /** Each new version of the document that came into force. */
@@ -33,11 +33,11 @@
   /** Each new view. */
   readonly viewNumbers: most.Stream<number>
   /** Ticks when the loads of other instances were heard. */
-  readonly poolNews: most.Stream<null>
+  readonly poolLoadUpdates: most.Stream<null>
   /** Tells the leader of changed loads without waiting for the next renewal; at once where requests wait for the cap. */
   reportLoads (isUrgent: boolean): void
   /** Tells the fleet that this instance takes no new callers and owns nothing any more. */
-  beginLeaving (): Promise<void>
+  drain (): Promise<void>
   /** Gives the lease back. */
   leave (): Promise<void>
   stop (): void
@@ -54,7 +54,7 @@
   /** @returns what this instance has in flight, per pool */
   loads (): contracts.PoolLoad[]
   /** @returns requests per client account since the last call */
-  takeDemand (): Array<{ account: string, count: number }>
+  collectDemand (): Array<{ account: string, count: number }>
 }
 
 const RENEW_TIMEOUT_MS = 2500
@@ -68,7 +68,7 @@
  * @returns the membership; it serves once the first lease is granted
  */
 export function createMembership (opts: MembershipOptions): Membership {
-  const views = viewsOf.createViews()
+  const views = fleetViews.createViews()
   const documents = links.createSubject<contracts.Document>()
   const viewNumbers = links.createSubject<number>()
   const poolNews = links.createSubject<null>()
@@ -79,7 +79,7 @@
   let wasServing = false
   let document: contracts.Document | null = null
   let documentVersion = 0
-  const pools = new Map<string, OthersLoad>()
+  const pools = new Map<string, RemoteLoad>()
   let shares = new Map<string, number>()
   let reportTimer: NodeJS.Timeout | undefined
   let isReportUrgent = false
@@ -135,7 +135,7 @@
   const takePools = (list: readonly contracts.PoolLoad[]): void => {
     const heardAt = performance.now()
     pools.clear()
-    for (const item of list) pools.set(item.pool, { ...item, heardAt })
+    for (const item of list) pools.set(item.pool, { ...item, receivedAt: heardAt })
     poolNews.next(null)
   }
 
@@ -145,7 +145,7 @@
     // The lease counts from before the renewal is sent: however long the answer takes, the leader's count ends later.
     const sentAt = performance.now()
     const reply = await control.call('fleet', {
-      t: 'renew', id: opts.instance.id, incarnation, leaving: isLeaving, instance: incarnation === 0 ? self() : undefined, viewSeen: views.number(), documentVersion, loads: opts.loads(), demand: opts.takeDemand()
+      t: 'renew', id: opts.instance.id, incarnation, leaving: isLeaving, instance: incarnation === 0 ? self() : undefined, viewSeen: views.number(), documentVersion, loads: opts.loads(), demand: opts.collectDemand()
     }, RENEW_TIMEOUT_MS)
     switch (reply.t) {
       case 'lease':
@@ -188,14 +188,14 @@
     control,
     self,
     isServing,
-    leaseLeftMs: () => leaseUntil - performance.now(),
+    leaseRemainingMs: () => leaseUntil - performance.now(),
     document: () => document,
     documentVersion: () => documentVersion,
-    othersLoad: pool => pools.get(pool),
+    remoteLoad: pool => pools.get(pool),
     accountShare: account => shares.get(account) ?? 1,
     documents: documents.stream,
     viewNumbers: viewNumbers.stream,
-    poolNews: poolNews.stream,
+    poolLoadUpdates: poolNews.stream,
     reportLoads (isUrgent) {
       if (reportTimer !== undefined && (!isUrgent || isReportUrgent)) return
       clearTimeout(reportTimer)
@@ -205,7 +205,7 @@
         if (isServing()) control.send({ t: 'loads', instance: opts.instance.id, incarnation, loads: opts.loads(), isUrgent })
       }, isUrgent ? URGENT_REPORT_MS : REPORT_MS)
     },
-    async beginLeaving () {
+    async drain () {
       isLeaving = true
       await renew().catch(() => {})
     },
--- a/packages/membership/src/ownership.ts
+++ b/packages/membership/src/ownership.ts
@@ -2,7 +2,7 @@
 import * as contracts from '@kingcupdeck/contracts'
 
 /** What ownership depends on, of an endpoint. */
-export interface Owned { id: string, zone: string }
+export interface EndpointLocation { id: string, zone: string }
 
 /**
  * Finds the owner of an endpoint by rendezvous hashing, preferring instances of the endpoint's own availability zone.
@@ -10,7 +10,7 @@
  * @param endpoint the endpoint
  * @returns the owner, or undefined in an empty view
  */
-export function findOwner (instances: readonly contracts.Instance[], endpoint: Owned): contracts.Instance | undefined {
+export function findOwner (instances: readonly contracts.Instance[], endpoint: EndpointLocation): contracts.Instance | undefined {
   const staying = instances.filter(item => !item.leaving)
   const near = staying.filter(item => item.zone === endpoint.zone)
   const candidates = near.length > 0 ? near : staying
--- a/packages/router/src/addresses.ts
+++ b/packages/router/src/addresses.ts
@@ -42,7 +42,7 @@
   const service = doc.models[model]?.service
   if (service === undefined) return undefined
   const candidates = table.ready(service, model)
-  const [home] = routing.rank({ key: chatKey, candidates })
+  const [home] = routing.rankByRendezvous({ key: chatKey, candidates })
   const entry = home === undefined ? undefined : table.get(home)
   return entry === undefined ? undefined : views.ownerOf(entry)?.id
 }
--- a/packages/router/src/cacheFinder.ts
+++ b/packages/router/src/cacheFinder.ts
@@ -47,7 +47,7 @@
       // The home itself came later than the chat, or the engine before it in rank is leaving: the cache lies there.
       const leaving = table.leaving(service).filter(entry => model === undefined || entry.models.includes(model))
       if (leaving.length > 0) {
-        const [before] = routing.rank({ key, candidates: [...leaving, ...candidates] })
+        const [before] = routing.rankByRendezvous({ key, candidates: [...leaving, ...candidates] })
         if (before !== ranked[0]) return before
       }
       return isNewcomer(ranked[0]) ? ranked[1] : undefined
--- a/packages/router/src/chatEntry.ts
+++ b/packages/router/src/chatEntry.ts
@@ -98,7 +98,7 @@
 
 async function followToEnd (ctx: context.EntryContext, run: Run): Promise<void> {
   const { request } = run
-  ctx.budget.earn()
+  ctx.budget.deposit()
   let placed = await placeOrThrow(ctx, run)
   for (let attemptNo = 1; ; attemptNo++) {
     run.served.engine = placed.endpoint
@@ -114,7 +114,7 @@
     if (end.kind === 'whole') return
     if (end.kind === 'failed') throw new contracts.FailureError(end.failure)
     request.trace.note('broke', `${placed.endpoint} by ${placed.owner.id}: ${end.why}`)
-    const isAllowed = attemptNo < MAX_ATTEMPTS && (end.isFree || ctx.budget.spend())
+    const isAllowed = attemptNo < MAX_ATTEMPTS && (end.isFree || ctx.budget.tryWithdraw())
     if (!isAllowed) throw new contracts.FailureError(toLost(run, end.why))
     placed = await reattach(ctx, run, placed, end) ?? await placeOrThrow(ctx, run)
   }
@@ -182,7 +182,7 @@
   if (event.status !== undefined && event.status < 500) return { kind: 'failed', failure: { kind: 'endpoint_error', status: event.status, detail: event.detail } }
   request.excluded.add(placed.endpoint)
   if (event.death !== undefined) {
-    ctx.suspects.note(request.fingerprint, event.death)
+    ctx.suspects.record(request.fingerprint, event.death)
     request.isSuspect = true
   }
   // An engine that says itself that it cannot take the request costs no retry.
--- a/packages/router/src/chatPlaces.ts
+++ b/packages/router/src/chatPlaces.ts
@@ -17,10 +17,10 @@
  * @returns the memory, empty
  */
 export function createChatPlaces (table: membership.EndpointTable): ChatPlaces {
-  const places = routing.createSpillMemory()
+  const places = routing.createAffinityTable()
   return {
     note (chat, home, endpoint) {
-      if (home === endpoint) places.forget(`${chat}\n${home}`)
+      if (home === endpoint) places.delete(`${chat}\n${home}`)
       else places.set(`${chat}\n${home}`, endpoint)
     },
     find (msg) {
--- a/packages/router/src/endpointNews.ts
+++ b/packages/router/src/endpointNews.ts
@@ -27,7 +27,7 @@
       const entry = toEntry(announcement)
       const known = table.get(entry.id)
       const isSame = known !== undefined && JSON.stringify({ ...known, seq: 0 }) === JSON.stringify({ ...entry, seq: 0 })
-      if (isSame || !gossip.learn(entry)) return
+      if (isSame || !gossip.merge(entry)) return
       if (known?.state !== entry.state) log.event(entry.state === 'ready' ? 'endpointJoined' : 'endpointLeaving', { endpoint: entry.id, service: entry.service })
     },
     noteGone (endpoint) {
@@ -36,7 +36,7 @@
       endpoint.heardAt = -Infinity
       if (entry === undefined || entry.state === 'gone') return
       const seq = Math.max(entry.seq, endpoint.announcement?.boot === entry.boot ? endpoint.announcement.seq : 0)
-      gossip.learn({ ...entry, seq, state: 'gone' })
+      gossip.merge({ ...entry, seq, state: 'gone' })
       log.event('endpointGone', { endpoint: endpoint.id })
     }
   }
--- a/packages/router/src/execution.ts
+++ b/packages/router/src/execution.ts
@@ -143,7 +143,7 @@
   const obstacle = session.reached ? undefined : opts.findObstacle()
   if (obstacle !== undefined) return { kind: 'declined', reason: obstacle }
   if (session.reached) return undefined
-  invariants.check('leaseBeforeDispatch', member.leaseLeftMs() > 0, () => `${session.msg.attempt} on ${endpoint.id} without a lease`)
+  invariants.check('leaseBeforeDispatch', member.leaseRemainingMs() > 0, () => `${session.msg.attempt} on ${endpoint.id} without a lease`)
   invariants.check('noWorkForLeaving', endpoint.announcement?.state === 'ready', () => `${session.msg.attempt} on ${endpoint.id}, which is leaving`)
   session.state = 'dispatched'
   session.reached = true
@@ -178,7 +178,7 @@
   // these. What was sent to a process that was started since has no part in the death.
   const inFlight = [...endpoint.sessions].filter(session => session.isBroken)
   for (const session of inFlight) {
-    suspects.note(session.msg.fingerprint, toDeath(endpoint))
+    suspects.record(session.msg.fingerprint, toDeath(endpoint))
     if (suspects.isQuarantined(session.msg.fingerprint)) log.event('requestQuarantined', { request: session.msg.request, endpoint: endpoint.id })
   }
   log.event('endpointDied', { endpoint: endpoint.id, inFlight: inFlight.length })
--- a/packages/router/src/ownedEndpoint.ts
+++ b/packages/router/src/ownedEndpoint.ts
@@ -17,7 +17,7 @@
   /** Requests admitted and not ended; the exact count in flight of this owner. */
   readonly sessions: Set<session.Session>
   readonly queue: routing.FairQueue<session.Session>
-  readonly wait: routing.WaitEstimate
+  readonly wait: routing.WaitEstimator
   /** Requests of an earlier owner that may still run: an upper bound that only falls. */
   foreign: number
   /** Lowest own count since the last announcement, and in the interval before. */
@@ -58,7 +58,7 @@
     address,
     sessions: new Set(),
     queue: routing.createFairQueue(),
-    wait: routing.createWaitEstimate(),
+    wait: routing.createWaitEstimator(),
     foreign: 0,
     low: { current: 0, previous: 0 },
     suspect: undefined,
--- a/packages/router/src/owner.ts
+++ b/packages/router/src/owner.ts
@@ -25,7 +25,7 @@
   log: telemetry.Log
   metrics: telemetry.RouterMetrics
   invariants: telemetry.Invariants
-  policy: routing.Policy
+  policy: routing.PlacementPolicy
   /** Whether chats that run away from their cache take it along. */
   isImporting: boolean
   /** Tells all peers of suspects. */
@@ -44,7 +44,7 @@
   /** Remembers where a chat ran. */
   notePlace (chat: string, home: string, endpoint: string): void
   /** @returns whether this instance owns an endpoint and nobody else can still act as its owner */
-  owns (endpoint: membership.Owned): boolean
+  owns (endpoint: membership.EndpointLocation): boolean
   /** Forgets endpoints that are owned elsewhere or gone, once nothing of theirs runs here. */
   forgetIdle (): void
   /** Notes that an endpoint went away or silent. */
@@ -91,9 +91,9 @@
 
   const countOwned = (): number => [...endpoints.values()].filter(item => item.announcement !== undefined).length
 
-  const owns = (endpoint: membership.Owned): boolean => {
+  const owns = (endpoint: membership.EndpointLocation): boolean => {
     const { views } = member
-    return views.ownerOf(endpoint)?.id === member.self().id && views.isSettledFor(endpoint)
+    return views.ownerOf(endpoint)?.id === member.self().id && views.isOwnershipSettled(endpoint)
   }
 
   /** @returns why an endpoint takes no work now, or undefined if it does */
@@ -150,7 +150,7 @@
     endpoint.sessions.delete(session)
     endpoint.low.current = Math.min(endpoint.low.current, endpoint.sessions.size)
     if (endpoint.suspect === session) endpoint.suspect = undefined
-    endpoint.wait.note(performance.now() - session.admittedAt)
+    endpoint.wait.record(performance.now() - session.admittedAt)
     if (end.kind === 'declined') decline(session, end.reason)
     if (session.reached) endedReached.add(session.msg.attempt)
     session.state = 'ended'
@@ -183,7 +183,7 @@
     }
   }
 
-  const predictWait = (endpoint: ownedEndpoint.OwnedEndpoint, rank: number): number => endpoint.wait.predict(ownedEndpoint.toLoad(endpoint), endpoint.queue.ahead(rank), endpoint.announcement?.slots ?? 1)
+  const predictWait = (endpoint: ownedEndpoint.OwnedEndpoint, rank: number): number => endpoint.wait.predict(ownedEndpoint.toLoad(endpoint), endpoint.queue.countAhead(rank), endpoint.announcement?.slots ?? 1)
 
   const enqueue = (endpoint: ownedEndpoint.OwnedEndpoint, session: sessions.Session): void => {
     const { msg } = session
@@ -228,7 +228,7 @@
     }
     const obstacle = findObstacle(endpoint, msg) ?? (isSuspectInTheWay(endpoint, msg) ? 'suspect_running' : undefined)
     if (obstacle !== undefined) {
-      decline(session, obstacle, { load: ownedEndpoint.toLoad(endpoint), retryAfterMs: suspects.leftMs(msg.fingerprint) })
+      decline(session, obstacle, { load: ownedEndpoint.toLoad(endpoint), retryAfterMs: suspects.remainingMs(msg.fingerprint) })
       return
     }
     const place = isCapped ? places.find(msg) : undefined
--- a/packages/router/src/ownerTasks.ts
+++ b/packages/router/src/ownerTasks.ts
@@ -37,7 +37,7 @@
     links.startPeriodic(ORDER_CHECK_MS, async () => { await sendOrders(opts) }, () => {})
   ]
   const views = opts.member.viewNumbers.observe(() => { handOver(opts) })
-  const pools = opts.member.poolNews.observe(() => { for (const endpoint of opts.owner.endpoints.values()) opts.owner.pump(endpoint) })
+  const pools = opts.member.poolLoadUpdates.observe(() => { for (const endpoint of opts.owner.endpoints.values()) opts.owner.pump(endpoint) })
   views.catch(() => {})
   pools.catch(() => {})
   return () => { for (const stop of stops) stop() }
@@ -66,7 +66,7 @@
     heardOf.set(entry.id, since)
     if (now - since < UNHEARD_MS) continue
     opts.log.event('endpointGone', { endpoint: entry.id })
-    opts.gossip.learn({ ...entry, state: 'gone' })
+    opts.gossip.merge({ ...entry, state: 'gone' })
   }
 }
 
--- a/packages/router/src/placing.ts
+++ b/packages/router/src/placing.ts
@@ -51,7 +51,7 @@
   table: membership.EndpointTable
   attempts: attempts.Attempts
   suspects: routing.Suspects
-  policy: routing.Policy
+  policy: routing.PlacementPolicy
   random: () => number
   /** @returns addresses of other instances, for a caller that must go elsewhere */
   otherAddresses (): string[]
@@ -119,7 +119,7 @@
       const known = reported.get(id)
       return known === undefined || performance.now() - known.at > LOAD_MEMORY_MS ? 0 : known.load
     },
-    own: id => own.get(id) ?? 0
+    local: id => own.get(id) ?? 0
   }
 
   const noteLoad = (endpoint: string, load: number): void => { reported.set(endpoint, { load, at: performance.now() }) }
@@ -195,7 +195,7 @@
     const failed = (failure: contracts.Failure): Placing => ({ kind: 'failed', failure })
     while (true) {
       if (request.signal.aborted) return failed({ kind: 'cancelled', ran: 'no' })
-      if (suspects.isQuarantined(request.fingerprint)) return failed({ kind: 'request_quarantined', ran: 'no', deaths: suspects.deaths(request.fingerprint), retryAfterMs: suspects.leftMs(request.fingerprint) })
+      if (suspects.isQuarantined(request.fingerprint)) return failed({ kind: 'request_quarantined', ran: 'no', deaths: suspects.crashCount(request.fingerprint), retryAfterMs: suspects.remainingMs(request.fingerprint) })
       const round = await tryRound(request)
       if (round.kind !== 'none') return round
       // A lease runs out only after the leader was out of reach for long: the caller is better off elsewhere, at once.
@@ -212,8 +212,8 @@
     const candidates = toCandidates(request)
     if (candidates.length === 0) return { kind: 'none', retryAfterMs: 0 }
     const spec = member.document()?.services[request.service]
-    const order = routing.orderEndpoints({ policy: opts.policy, key: request.key, candidates, loads, loadFactor: spec?.loadFactor ?? 1.25, random: opts.random, turn: turn++ })
-    const search: Search = { ranked: routing.rank({ key: request.key, candidates }), queue: order.slice(0, MAX_TRIES), place: undefined, leastFull: undefined }
+    const order = routing.orderEndpoints({ policy: opts.policy, key: request.key, candidates, loads, loadFactor: spec?.loadFactor ?? 1.25, random: opts.random, sequence: turn++ })
+    const search: Search = { ranked: routing.rankByRendezvous({ key: request.key, candidates }), queue: order.slice(0, MAX_TRIES), place: undefined, leastFull: undefined }
     for (let i = 0; i < search.queue.length; i++) {
       const endpoint = search.queue[i]
       const tried = await tryOne(request, endpoint, { waitMs: 0, importFrom: findCache(request, endpoint, search) })
@@ -237,7 +237,7 @@
       }
       case 'declined':
         if (tried.reason !== 'quarantined') return undefined
-        return { kind: 'failed', failure: { kind: 'request_quarantined', ran: 'no', deaths: routing.QUARANTINE_DEATHS, retryAfterMs: tried.retryAfterMs } }
+        return { kind: 'failed', failure: { kind: 'request_quarantined', ran: 'no', deaths: routing.QUARANTINE_CRASHES, retryAfterMs: tried.retryAfterMs } }
     }
   }
 
--- a/packages/router/src/plainEntry.ts
+++ b/packages/router/src/plainEntry.ts
@@ -140,7 +140,7 @@
     if (end.kind === 'answer') return end.answer
     request.trace.note('broke', `${placed.endpoint}: ${end.why}`)
     isReached ||= end.ran !== 'no'
-    const isAllowed = attemptNo < MAX_ATTEMPTS && (end.ran === 'no' || (request.isRepeatable && ctx.budget.spend()))
+    const isAllowed = attemptNo < MAX_ATTEMPTS && (end.ran === 'no' || (request.isRepeatable && ctx.budget.tryWithdraw()))
     if (!isAllowed) throw new contracts.FailureError({ kind: 'endpoint_lost', ran: isReached ? 'unknown' : 'no', detail: end.why })
     request.excluded.add(placed.endpoint)
   }
@@ -156,7 +156,7 @@
       case 'declined': return { kind: 'broke', why: event.reason, ran: 'no' }
       case 'lost':
         if (event.death !== undefined) {
-          ctx.suspects.note(request.fingerprint, event.death)
+          ctx.suspects.record(request.fingerprint, event.death)
           request.isSuspect = true
         }
         return { kind: 'broke', why: event.detail, ran: 'unknown' }
--- a/packages/router/src/poolLoads.ts
+++ b/packages/router/src/poolLoads.ts
@@ -46,12 +46,12 @@
   const toCap = (endpoint: ownedEndpoint.OwnedEndpoint): Cap => {
     const announcement = endpoint.announcement as contracts.Announcement
     if (!opts.isCapped) return { cap: Infinity, total: 0, ageMs: 0 }
-    const others = member.othersLoad(announcement.service)
+    const others = member.remoteLoad(announcement.service)
     const own = sumOf(announcement.service)
     const factor = member.document()?.services[announcement.service]?.loadFactor ?? DEFAULT_FACTOR
     const total = (others?.load ?? 0) + own.load
-    const cap = routing.toCap({ factor, total, weightSum: (others?.weight ?? 0) + own.weight, weight: announcement.weight, slots: announcement.slots })
-    return { cap, total, ageMs: others === undefined ? Infinity : performance.now() - others.heardAt }
+    const cap = routing.toLoadCap({ factor, total, weightSum: (others?.weight ?? 0) + own.weight, weight: announcement.weight, slots: announcement.slots })
+    return { cap, total, ageMs: others === undefined ? Infinity : performance.now() - others.receivedAt }
   }
 
   return {
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -34,7 +34,7 @@
   secret: string
   ledgerGroups: number
   maxBodyBytes: number
-  policy: routing.Policy
+  policy: routing.PlacementPolicy
   isImporting: boolean
   log: telemetry.Log
   /** Whether a broken invariant ends the process. */
@@ -105,12 +105,12 @@
 
   const others = (): contracts.Instance[] => member.views.instances().filter(item => item.id !== opts.id)
   const spreadSuspects = (fingerprints: readonly string[]): void => {
-    const list = suspects.toNews(fingerprints)
+    const list = suspects.toReports(fingerprints)
     for (const peer of others()) sendTo(peer, { t: 'suspects', list })
   }
   /** A peer that missed the news, or is new, hears all that is known from one or the other in time. */
   const remindOfSuspects = (): void => {
-    const list = suspects.toNews()
+    const list = suspects.toReports()
     const peers = others()
     if (list.length > 0 && peers.length > 0) sendTo(peers[Math.floor(random() * peers.length)], { t: 'suspects', list })
   }
@@ -128,7 +128,7 @@
     invariants,
     count,
     loads: () => owner.loads(),
-    takeDemand: limits.takeDemand
+    collectDemand: limits.collectDemand
   })
   const gossip = membership.createGossip({ table, peers: others, call: callPeer, random })
   const owner: owners.Owner = owners.createOwner({ member, table, gossip, suspects, log, metrics, invariants, policy: opts.policy, isImporting: opts.isImporting, spreadSuspects })
@@ -171,7 +171,7 @@
       case 'dispatch': owner.dispatch(msg, { send: event => { link.send(event) }, isOpen: link.isOpen, drained: link.drained }); break
       case 'placed': owner.notePlace(msg.chat, msg.home, msg.endpoint); break
       case 'handover': owner.takeAnnouncement(msg.announcement, msg.inFlight); break
-      case 'suspects': suspects.learn(msg.list); break
+      case 'suspects': suspects.merge(msg.list); break
       default: openAttempts.take(msg)
     }
   }
@@ -220,7 +220,7 @@
     },
     async shutdown () {
       log.event('stopping', { inFlight: owner.inFlight() })
-      await member.beginLeaving()
+      await member.drain()
       // Callers keep old addresses until these expire, so the instance serves on until then.
       await wait(contracts.ADDRESS_MAX_AGE_MS + contracts.LEASE_RENEW_INTERVAL_MS)
       await server.close()
--- a/packages/router/src/server.ts
+++ b/packages/router/src/server.ts
@@ -154,7 +154,7 @@
     leaving: member.self().leaving,
     view: member.views.number(),
     documentVersion: member.documentVersion(),
-    leaseMsLeft: Math.round(Math.max(0, member.leaseLeftMs())),
+    leaseMsLeft: Math.round(Math.max(0, member.leaseRemainingMs())),
     endpoints: [...opts.table.all()].filter(entry => entry.state === 'ready').length,
     invariants: opts.ctx.invariants.tallies(),
     owned: opts.owner.toStatus()
--- a/packages/routing/__tests__/decisions.test.ts
+++ b/packages/routing/__tests__/routing.test.ts
@@ -9,24 +9,24 @@
 
 test('the caps of a pool always leave room for one more', t => {
   fc.assert(fc.property(fc.integer({ min: 1, max: 50 }), fc.integer({ min: 0, max: 2000 }), fc.double({ min: 1.01, max: 4, noNaN: true }), (n, total, factor) => {
-    const cap = routing.toCap({ factor, total, weightSum: n, weight: 1, slots: 1e9 })
+    const cap = routing.toLoadCap({ factor, total, weightSum: n, weight: 1, slots: 1e9 })
     return cap * n >= total + 1 && cap <= Math.max(1, factor * (total + 1) / n + 1)
   }), SEED)
-  t.is(routing.toCap({ factor: 1.25, total: 7, weightSum: 8, weight: 1, slots: 16 }), 2)
-  t.is(routing.toCap({ factor: 1.25, total: 700, weightSum: 8, weight: 1, slots: 16 }), 16)
+  t.is(routing.toLoadCap({ factor: 1.25, total: 7, weightSum: 8, weight: 1, slots: 16 }), 2)
+  t.is(routing.toLoadCap({ factor: 1.25, total: 700, weightSum: 8, weight: 1, slots: 16 }), 16)
 })
 
 const candidates = Array.from({ length: 8 }, (_, i) => ({ id: `e${i}`, zone: 'z', weight: 1 }))
-const input = (policy: routing.Policy, key = 'chat'): routing.PlacementInput => ({ policy, key, candidates, loads: { reported: id => id === 'e3' ? 0 : 5, own: () => 0 }, loadFactor: 1.25, random: () => 0.4, turn: 3 })
+const input = (policy: routing.PlacementPolicy, key = 'chat'): routing.PlacementInput => ({ policy, key, candidates, loads: { reported: id => id === 'e3' ? 0 : 5, local: () => 0 }, loadFactor: 1.25, random: () => 0.4, sequence: 3 })
 
 test('every policy orders every endpoint once', t => {
-  for (const policy of routing.POLICIES) t.deepEqual(routing.orderEndpoints(input(policy)).sort(), candidates.map(item => item.id), policy)
+  for (const policy of routing.PLACEMENT_POLICIES) t.deepEqual(routing.orderEndpoints(input(policy)).sort(), candidates.map(item => item.id), policy)
 })
 
 test('a chat keeps its home when others come and go', t => {
   const keys = Array.from({ length: 300 }, (_, i) => `chat-${i}`)
-  const homes = keys.map(key => routing.rank({ key, candidates })[0])
-  const without = keys.map(key => routing.rank({ key, candidates: candidates.slice(1) })[0])
+  const homes = keys.map(key => routing.rankByRendezvous({ key, candidates })[0])
+  const without = keys.map(key => routing.rankByRendezvous({ key, candidates: candidates.slice(1) })[0])
   t.true(keys.every((_, i) => homes[i] === 'e0' || homes[i] === without[i]))
   t.true(new Set(homes).size === 8)
 })
@@ -39,10 +39,10 @@
   const counts = new Map<string, number>()
   let moved = 0
   for (const key of keys) {
-    const ranked = routing.rank({ key, candidates: large })
+    const ranked = routing.rankByRendezvous({ key, candidates: large })
     t.true(ranked.length > 6)
     counts.set(ranked[0], (counts.get(ranked[0]) ?? 0) + 1)
-    if (routing.rank({ key, candidates: without })[0] !== ranked[0]) moved++
+    if (routing.rankByRendezvous({ key, candidates: without })[0] !== ranked[0]) moved++
   }
   t.true(Math.max(...counts.values()) < 14, `one endpoint has ${Math.max(...counts.values())} of 4000 homes`)
   t.true(moved < 20, `${moved} of 4000 homes moved when one endpoint of 2000 left`)
@@ -95,7 +95,7 @@
       instances.forEach((item, i) => { if (item.take('a', limit, shares[i]) === 0 && second >= 10) passed++ })
     }
     instances.forEach((item, i) => {
-      rates.add(item.takeDemand())
+      rates.add(item.collectDemand())
       shares[i] = rates.share('a', limit.requestsPerSecond)
     })
   }
@@ -104,20 +104,20 @@
 
 test('retries end when first attempts do not pay for them', t => {
   const budget = routing.createRetryBudget({ share: 0.2, max: 5 })
-  t.is(Array.from({ length: 10 }, () => budget.spend()).filter(Boolean).length, 5)
-  for (let i = 0; i < 10; i++) budget.earn()
-  t.is(Array.from({ length: 10 }, () => budget.spend()).filter(Boolean).length, 2)
+  t.is(Array.from({ length: 10 }, () => budget.tryWithdraw()).filter(Boolean).length, 5)
+  for (let i = 0; i < 10; i++) budget.deposit()
+  t.is(Array.from({ length: 10 }, () => budget.tryWithdraw()).filter(Boolean).length, 2)
 })
 
 test('a request at two deaths is held back, for a while', t => {
   let now = 0
   const suspects = routing.createSuspects(() => now)
-  t.true(suspects.note('f', 'engine@1'))
-  t.false(suspects.note('f', 'engine@1'))
+  t.true(suspects.record('f', 'engine@1'))
+  t.false(suspects.record('f', 'engine@1'))
   t.false(suspects.isQuarantined('f'))
   const peer = routing.createSuspects(() => now)
-  peer.note('f', 'engine@2')
-  t.true(suspects.learn(peer.toNews()))
+  peer.record('f', 'engine@2')
+  t.true(suspects.merge(peer.toReports()))
   t.true(suspects.isQuarantined('f'))
   now = 11 * 60 * 1000
   t.false(suspects.isQuarantined('f'))
@@ -126,8 +126,8 @@
 // A burst: the endpoint has free slots and is held back by the cap alone. To predict a queue of seconds from that, as was
 // done before, refused callers whose patience was eight seconds and whose wait would have been one.
 test('a wait for the cap is short, a wait for slots is not', t => {
-  const wait = routing.createWaitEstimate()
-  for (let i = 0; i < 100; i++) wait.note(1000)
+  const wait = routing.createWaitEstimator()
+  for (let i = 0; i < 100; i++) wait.record(1000)
   t.true(wait.predict(2, 10, 16) < 500)
   t.true(wait.predict(16, 15, 16) > 1000)
   t.true(wait.predict(16, 15, 16) < 1500)
--- a/packages/routing/src/accountLimits.ts
+++ b/packages/routing/src/accountLimits.ts
@@ -14,7 +14,7 @@
    */
   take (account: string, limit: AccountLimit, share: number): number
   /** @returns requests asked for per account since the last call, passed or not */
-  takeDemand (): Array<{ account: string, count: number }>
+  collectDemand (): Array<{ account: string, count: number }>
 }
 
 interface Bucket { tokens: number, filledAt: number, demand: number, demandPerSecond: number }
@@ -50,7 +50,7 @@
       }
       return Math.ceil((1 - bucket.tokens) / rate * 1000)
     },
-    takeDemand () {
+    collectDemand () {
       const at = now()
       const elapsed = Math.max(1, at - demandSince)
       demandSince = at
--- a/packages/routing/src/spillMemory.ts
+++ b/packages/routing/src/affinityTable.ts
@@ -1,10 +1,10 @@
 /** Where chats last ran, for those that do not run at home: kept at the home's owner, bounded and expiring. */
 
 /** Places of chats. */
-export interface SpillMemory {
+export interface AffinityTable {
   get (chat: string): string | undefined
   set (chat: string, endpoint: string): void
-  forget (chat: string): void
+  delete (chat: string): void
 }
 
 const MAX_CHATS = 50_000
@@ -15,7 +15,7 @@
  * @param now monotonic milliseconds
  * @returns the memory
  */
-export function createSpillMemory (now: () => number = () => performance.now()): SpillMemory {
+export function createAffinityTable (now: () => number = () => performance.now()): AffinityTable {
   const places = new Map<string, { endpoint: string, at: number }>()
   return {
     get (chat) {
@@ -30,6 +30,6 @@
       places.set(chat, { endpoint, at: now() })
       if (places.size > MAX_CHATS) places.delete(places.keys().next().value as string)
     },
-    forget (chat) { places.delete(chat) }
+    delete (chat) { places.delete(chat) }
   }
 }
--- a/packages/routing/src/fairQueue.ts
+++ b/packages/routing/src/fairQueue.ts
@@ -4,7 +4,7 @@
  */
 
 /** A request that waits. */
-export interface Waiting<T> {
+export interface QueueEntry<T> {
   item: T
   rank: number
   account: string
@@ -14,19 +14,19 @@
 
 /** The queue before one endpoint. */
 export interface FairQueue<T> {
-  push (waiting: Waiting<T>): void
+  push (waiting: QueueEntry<T>): void
   /** Takes the next request for which `accepts` holds. */
-  take (accepts?: (item: T) => boolean): Waiting<T> | undefined
+  take (accepts?: (item: T) => boolean): QueueEntry<T> | undefined
   /** Removes a request. @returns whether it was there */
   remove (item: T): boolean
   size (): number
   /** @returns how many requests of this rank or a better one wait */
-  ahead (rank: number): number
+  countAhead (rank: number): number
   /** @returns every waiting request */
   items (): T[]
 }
 
-interface Flow<T> { account: string, rank: number, virtualTime: number, waiting: Array<Waiting<T>> }
+interface Flow<T> { account: string, rank: number, virtualTime: number, waiting: Array<QueueEntry<T>> }
 
 /**
  * Creates an empty queue.
@@ -73,7 +73,7 @@
       return false
     },
     size: () => flows.reduce((sum, flow) => sum + flow.waiting.length, 0),
-    ahead: rank => flows.reduce((sum, flow) => sum + (flow.rank <= rank ? flow.waiting.length : 0), 0),
+    countAhead: rank => flows.reduce((sum, flow) => sum + (flow.rank <= rank ? flow.waiting.length : 0), 0),
     items: () => flows.flatMap(flow => flow.waiting.map(waiting => waiting.item))
   }
 }
--- a/packages/routing/src/loadCap.ts
+++ b/packages/routing/src/loadCap.ts
@@ -4,7 +4,7 @@
  */
 
 /** What the cap of an endpoint depends on. */
-export interface CapInput {
+export interface LoadCapInput {
   /** The set multiple of the mean, above 1. */
   factor: number
   /** Requests in flight in the whole pool, without the one to admit. */
@@ -22,7 +22,7 @@
  * @param input the pool's load and the endpoint's share
  * @returns the largest load that the admission of one more may lead to; at least 1, at most the endpoint's slots
  */
-export function toCap (input: CapInput): number {
+export function toLoadCap (input: LoadCapInput): number {
   const mean = (input.total + 1) / Math.max(input.weightSum, input.weight)
   const cap = Math.ceil(input.factor * mean * input.weight - 1e-9)
   return Math.max(1, Math.min(input.slots, cap))
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -5,9 +5,9 @@
 import * as contracts from '@kingcupdeck/contracts'
 
 /** The policies. */
-export const POLICIES = ['owner', 'random', 'roundRobin', 'leastReported', 'powerOfTwo', 'plainHash', 'boundedSliver'] as const
+export const PLACEMENT_POLICIES = ['owner', 'random', 'roundRobin', 'leastReported', 'powerOfTwo', 'plainHash', 'boundedSliver'] as const
 /** A policy. */
-export type Policy = typeof POLICIES[number]
+export type PlacementPolicy = typeof PLACEMENT_POLICIES[number]
 
 /** An endpoint as placement sees it. */
 export interface Candidate { id: string, zone: string, weight: number }
@@ -17,12 +17,12 @@
   /** @returns the load of an endpoint as last heard of (may be old) */
   reported (id: string): number
   /** @returns how many requests this instance itself has in flight on the endpoint */
-  own (id: string): number
+  local (id: string): number
 }
 
 /** What a choice depends on. */
 export interface PlacementInput {
-  policy: Policy
+  policy: PlacementPolicy
   /** What keeps a chat together. */
   key: string
   candidates: readonly Candidate[]
@@ -30,7 +30,7 @@
   loadFactor: number
   random: () => number
   /** Counts the choices, for round robin. */
-  turn: number
+  sequence: number
 }
 
 /** Spills go to one of this many ranks behind the home, so that a chat has few places where its cache may be. */
@@ -45,7 +45,7 @@
   const { policy } = input
   switch (policy) {
     case 'owner': return orderForOwner(input)
-    case 'plainHash': return rank(input)
+    case 'plainHash': return rankByRendezvous(input)
     case 'boundedSliver': return orderBoundedSliver(input)
     case 'random': return shuffle(input)
     case 'roundRobin': return rotate(input)
@@ -70,7 +70,7 @@
  * @param input the key and the endpoints; the same array is expected while the endpoints stay the same
  * @returns endpoint ids, the home first
  */
-export function rank (input: Pick<PlacementInput, 'key' | 'candidates'>): string[] {
+export function rankByRendezvous (input: Pick<PlacementInput, 'key' | 'candidates'>): string[] {
   const { key, candidates } = input
   if (candidates.length <= FLAT_UP_TO) return rankFlat(key, candidates)
   const groups = toGroups(candidates)
@@ -108,17 +108,17 @@
 
 /** Home first; then the next ranks, least loaded first as far as known; then the rest by rank. */
 function orderForOwner (input: PlacementInput): string[] {
-  const ranked = rank(input)
+  const ranked = rankByRendezvous(input)
   const spill = byLoad(input, ranked.slice(1, 1 + SPILL_RANKS), input.loads.reported)
   return [...ranked.slice(0, 1), ...spill, ...ranked.slice(1 + SPILL_RANKS)]
 }
 
 /** Bounded-load hashing on what this instance alone sees: the first rank below the factor times its own mean. */
 function orderBoundedSliver (input: PlacementInput): string[] {
-  const ranked = rank(input)
-  const total = ranked.reduce((sum, id) => sum + input.loads.own(id), 0)
+  const ranked = rankByRendezvous(input)
+  const total = ranked.reduce((sum, id) => sum + input.loads.local(id), 0)
   const cap = Math.ceil(input.loadFactor * (total + 1) / ranked.length)
-  const below = ranked.filter(id => input.loads.own(id) + 1 <= cap)
+  const below = ranked.filter(id => input.loads.local(id) + 1 <= cap)
   return [...below, ...ranked.filter(id => !below.includes(id))]
 }
 
@@ -135,7 +135,7 @@
 
 function rotate (input: PlacementInput): string[] {
   const list = ids(input)
-  const at = list.length === 0 ? 0 : input.turn % list.length
+  const at = list.length === 0 ? 0 : input.sequence % list.length
   return [...list.slice(at), ...list.slice(0, at)]
 }
 
--- a/packages/routing/src/retryBudget.ts
+++ b/packages/routing/src/retryBudget.ts
@@ -3,9 +3,9 @@
 /** Retries that may still be made. */
 export interface RetryBudget {
   /** Notes a first attempt, which earns a part of a retry. */
-  earn (): void
+  deposit (): void
   /** Spends one retry. @returns whether there was one */
-  spend (): boolean
+  tryWithdraw (): boolean
 }
 
 /** Shares of one do not add up exactly. */
@@ -29,8 +29,8 @@
   const max = opts.max ?? 50
   let left = max
   return {
-    earn () { left = Math.min(max, left + share) },
-    spend () {
+    deposit () { left = Math.min(max, left + share) },
+    tryWithdraw () {
       if (left < 1 - ROUNDING) return false
       left--
       return true
--- a/packages/routing/src/suspects.ts
+++ b/packages/routing/src/suspects.ts
@@ -5,25 +5,25 @@
  */
 
 /** News of suspects, as peers exchange it. */
-export interface SuspectNews { fingerprint: string, boots: string[], ageMs: number }
+export interface SuspectReport { fingerprint: string, boots: string[], ageMs: number }
 
 /** The suspects that an instance knows of. */
 export interface Suspects {
   /** Notes that a request was in flight on an endpoint that died. @returns whether this was news */
-  note (fingerprint: string, boot: string, ageMs?: number): boolean
+  record (fingerprint: string, boot: string, ageMs?: number): boolean
   /** @returns at how many deaths it was seen */
-  deaths (fingerprint: string): number
+  crashCount (fingerprint: string): number
   isQuarantined (fingerprint: string): boolean
   /** @returns milliseconds until it may be tried again */
-  leftMs (fingerprint: string): number
+  remainingMs (fingerprint: string): number
   /** @returns what is known, for peers: of some requests, or of the latest */
-  toNews (fingerprints?: readonly string[]): SuspectNews[]
+  toReports (fingerprints?: readonly string[]): SuspectReport[]
   /** Takes what a peer knows. @returns whether anything was news */
-  learn (news: readonly SuspectNews[]): boolean
+  merge (news: readonly SuspectReport[]): boolean
 }
 
 /** Deaths after which a request is held back. */
-export const QUARANTINE_DEATHS = 2
+export const QUARANTINE_CRASHES = 2
 const REMEMBER_MS = 10 * 60 * 1000
 const MAX_SUSPECTS = 10_000
 const MAX_NEWS = 30
@@ -57,17 +57,17 @@
   }
 
   return {
-    note,
-    deaths: fingerprint => find(fingerprint)?.boots.size ?? 0,
-    isQuarantined: fingerprint => (find(fingerprint)?.boots.size ?? 0) >= QUARANTINE_DEATHS,
-    leftMs: fingerprint => {
+    record: note,
+    crashCount: fingerprint => find(fingerprint)?.boots.size ?? 0,
+    isQuarantined: fingerprint => (find(fingerprint)?.boots.size ?? 0) >= QUARANTINE_CRASHES,
+    remainingMs: fingerprint => {
       const suspect = find(fingerprint)
       return suspect === undefined ? 0 : REMEMBER_MS - (now() - suspect.at)
     },
-    toNews: (fingerprints = [...known.keys()].slice(-MAX_NEWS)) => fingerprints.flatMap(fingerprint => {
+    toReports: (fingerprints = [...known.keys()].slice(-MAX_NEWS)) => fingerprints.flatMap(fingerprint => {
       const suspect = find(fingerprint)
       return suspect === undefined ? [] : [{ fingerprint, boots: [...suspect.boots], ageMs: Math.round(now() - suspect.at) }]
     }),
-    learn: news => news.map(item => item.boots.map(boot => note(item.fingerprint, boot, item.ageMs)).some(Boolean)).some(Boolean)
+    merge: news => news.map(item => item.boots.map(boot => note(item.fingerprint, boot, item.ageMs)).some(Boolean)).some(Boolean)
   }
 }
--- a/packages/routing/src/waitEstimate.ts
+++ b/packages/routing/src/waitEstimator.ts
@@ -1,9 +1,9 @@
 /** Predicts the wait in an endpoint's queue from how long requests lately ran there. */
 
 /** The estimate for one endpoint. */
-export interface WaitEstimate {
+export interface WaitEstimator {
   /** Notes how long a request ran. */
-  note (ranMs: number): void
+  record (ranMs: number): void
   /**
    * @param running requests that run now
    * @param ahead requests that wait before the one in question
@@ -21,10 +21,10 @@
  * Creates an estimate.
  * @returns the estimate, from a guess until requests ended
  */
-export function createWaitEstimate (): WaitEstimate {
+export function createWaitEstimator (): WaitEstimator {
   let meanMs = START_MS
   return {
-    note (ranMs) { meanMs += (ranMs - meanMs) * WEIGHT },
+    record (ranMs) { meanMs += (ranMs - meanMs) * WEIGHT },
     predict (running, ahead, slots) {
       const overflow = running + ahead + 1 - slots
       // Below its slots an endpoint is held back by the cap alone, which rises as soon as the loads of others are heard.
--- a/packages/state/__tests__/openGroup.test.ts
+++ b/packages/state/__tests__/dynamicMembership.test.ts
@@ -19,7 +19,7 @@
 test('replicas that are no founders are admitted', async t => {
   const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 3)
   t.deepEqual(voters(cluster), ['a', 'b', 'c', 'd', 'e'])
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // Machines are replaced by empty ones at other addresses, one after the other. If those that are gone stayed voters, the
@@ -37,30 +37,30 @@
   cluster.propose('after')
   await cluster.clock.advance(2000)
   t.true(cluster.acknowledged.includes('after'))
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // A machine that was cut off for longer than it takes to retire it comes back with its disk. It holds itself for a voter,
 // hears no leader, and nobody votes for it: it must ask to be admitted again.
 test('a machine that was retired while it was cut off comes back', async t => {
   const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 7)
-  cluster.network.cut.add('b')
+  cluster.network.isolated.add('b')
   await cluster.clock.advance(30_000)
   t.deepEqual(voters(cluster), ['a', 'c', 'd', 'e'])
-  cluster.network.cut.delete('b')
+  cluster.network.isolated.delete('b')
   await cluster.clock.advance(20_000)
   t.deepEqual(voters(cluster), ['a', 'b', 'c', 'd', 'e'])
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // Half of the voters are silent because a cable broke, not because they are gone: those that remain are too few to be safe
 // without them, and none is retired.
 test('no voter is retired while another one is silent', async t => {
   const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 9)
-  for (const name of ['a', 'b']) cluster.network.cut.add(name)
+  for (const name of ['a', 'b']) cluster.network.isolated.add(name)
   await cluster.clock.advance(40_000)
   t.is(voters(cluster).length, 5)
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // A wiped machine restarts beside seeds that are wiped as well, after the fleet was started long ago: if it founded a group,
@@ -92,16 +92,16 @@
 test('a confirmation is not given by a leader that was replaced while it was frozen', async t => {
   const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 17)
   const old = cluster.leader() as NonNullable<ReturnType<typeof cluster.leader>>
-  cluster.network.cut.add(old.name)
+  cluster.network.isolated.add(old.name)
   const replica = old.process.replica as NonNullable<typeof old.process.replica>
   let outcome = ''
-  replica.confirm(900).then(() => { outcome = 'confirmed' }, err => { outcome = (err as Error).name })
+  replica.confirmLeadership(900).then(() => { outcome = 'confirmed' }, err => { outcome = (err as Error).name })
   await cluster.clock.advance(3000)
   t.is(outcome, 'ProposalError')
   const now = cluster.leader()
   t.not(now?.name, old.name)
   let isConfirmed = false
-  now?.process.replica?.confirm(900).then(() => { isConfirmed = true }, () => {})
+  now?.process.replica?.confirmLeadership(900).then(() => { isConfirmed = true }, () => {})
   await cluster.clock.advance(1000)
   t.true(isConfirmed)
 })
@@ -124,7 +124,7 @@
   await cluster.start(old)
   await cluster.clock.advance(6000)
   t.true(cluster.applied(old).includes('after'))
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // Two replicas lose what they had acknowledged and elect a leader without it; it would undo an accepted configuration at the
@@ -133,11 +133,11 @@
   const cluster = await found(['a', 'b', 'c'], [], 17)
   cluster.propose('one')
   await cluster.clock.advance(2000)
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
   const follower = cluster.names.find(name => name !== cluster.leader()?.name) as string
   const replica = cluster.node(follower).process.replica as NonNullable<ReturnType<typeof cluster.node>['process']['replica']>
   const status = replica.status()
   void replica.handle({ t: 'append', term: status.term + 5, leader: { name: 'x', incarnation: 'x' }, prevIndex: status.commit, prevTerm: status.term + 4, entries: [], commit: status.commit })
   await cluster.clock.advance(100)
-  t.true(cluster.broken.some(item => item.startsWith('commitNeverReverts')))
+  t.true(cluster.violations.some(item => item.startsWith('commitNeverReverts')))
 })
--- a/packages/state/__tests__/fileStorage.test.ts
+++ b/packages/state/__tests__/fileStorage.test.ts
@@ -117,14 +117,14 @@
   await disk.load()
   await disk.saveMeta(META)
   for (let i = 1; i <= 5; i++) await disk.append(toEntries(i, i))
-  disk.noteCommit?.(4)
+  disk.saveCommitIndex?.(4)
   await disk.append(toEntries(6, 6))
   await disk.close()
   fs.rmSync(path.join(folder, 'committed'), { force: true })
   const loaded = await load(folder)
   t.is(loaded.kind, 'found')
   if (loaded.kind !== 'found') return
-  t.is(loaded.committed, 4)
+  t.is(loaded.commitIndex, 4)
   t.deepEqual(loaded.entries.map(item => item.index), [1, 2, 3, 4, 5, 6])
 })
 
@@ -151,7 +151,7 @@
   await disk.saveMeta(META)
   for (let i = 1; i <= 6; i++) {
     await disk.append(toEntries(i, i))
-    disk.noteCommit?.(i)
+    disk.saveCommitIndex?.(i)
   }
   await disk.truncateFrom(5)
   await disk.append(toEntries(5, 7))
--- a/packages/state/__tests__/helpers/virtualCluster.ts
+++ b/packages/state/__tests__/helpers/virtualCluster.ts
@@ -62,12 +62,12 @@
 interface Node { name: string, disk: MemoryDisk, process: Process, starts: number }
 
 /** What the cluster's network does to a message. */
-export interface Network { loss: number, delayMs: number, /** Nodes that are cut off. */ cut: Set<string>, /** Single links that are cut, as `a b` in the order of the names. */ cutLinks: Set<string> }
+export interface Network { loss: number, delayMs: number, /** Nodes that are cut off. */ isolated: Set<string>, /** Single links that are cut, as `a b` in the order of the names. */ brokenLinks: Set<string> }
 
 /** A replica group under test. */
 export class VirtualCluster {
   readonly clock = new VirtualClock()
-  readonly network: Network = { loss: 0, delayMs: 3, cut: new Set(), cutLinks: new Set() }
+  readonly network: Network = { loss: 0, delayMs: 3, isolated: new Set(), brokenLinks: new Set() }
   readonly nodes = new Map<string, Node>()
   /** Commands whose proposer was told that they are committed, in that order. */
   readonly acknowledged: string[] = []
@@ -77,14 +77,14 @@
   readonly failed: string[] = []
   /** Terms with their leader; two for one term would be an error. */
   readonly leaders = new Map<number, string>()
-  readonly broken: string[] = []
+  readonly violations: string[] = []
   private readonly random: () => number
 
   /**
    * @param names the replicas that found the group
-   * @param isOpen whether others may join later, and silent ones are retired
+   * @param isDynamic whether others may join later, and silent ones are retired
    */
-  constructor (readonly names: string[], seed: number, readonly snapshotEvery = 20, readonly isOpen = false) {
+  constructor (readonly names: string[], seed: number, readonly snapshotEvery = 20, readonly isDynamic = false) {
     const generator = xoroshiro.xoroshiro128plus(seed)
     this.random = () => uniform.uniformFloat64(generator)
     for (const name of names) this.nodes.set(name, { name, disk: new MemoryDisk(), process: { isDead: true, replica: undefined, applied: [] }, starts: 0 })
@@ -105,18 +105,18 @@
     node.starts++
     const log = telemetry.createLog({ instance: name, level: 'silent' })
     const invariants: telemetry.Invariants = {
-      check: (invariant, holds, detail) => { if (!holds) this.broken.push(`${invariant}: ${detail()}`) },
+      check: (invariant, holds, detail) => { if (!holds) this.violations.push(`${invariant}: ${detail()}`) },
       tallies: () => ({} as ReturnType<telemetry.Invariants['tallies']>)
     }
     const starting = state.createReplica({
       group: 'test',
       name,
-      names: this.names,
-      mayFound,
-      isOpen: this.isOpen,
+      founderNames: this.names,
+      canBootstrap: mayFound,
+      isDynamic: this.isDynamic,
       storage: this.toStorage(node, process),
       transport: { call: async (to, msg) => await this.call(name, process, to, msg) },
-      machine: this.toMachine(process),
+      stateMachine: this.toMachine(process),
       clock: {
         now: () => this.clock.now(),
         wallNow: () => this.clock.now(),
@@ -149,16 +149,16 @@
   }
 
   /** Notes who leads which term. */
-  look (): void {
+  checkLeaders (): void {
     for (const node of this.nodes.values()) {
       const status = node.process.replica?.status()
       if (status?.role !== 'leader') continue
       const known = this.leaders.get(status.term)
-      if (known !== undefined && known !== node.name) this.broken.push(`term ${status.term} is led by ${known} and ${node.name}`)
+      if (known !== undefined && known !== node.name) this.violations.push(`term ${status.term} is led by ${known} and ${node.name}`)
       this.leaders.set(status.term, node.name)
     }
     const ready = [...this.nodes.values()].filter(node => node.process.replica?.isReady() === true)
-    if (ready.length > 1) this.broken.push(`two leaders hold a lease: ${ready.map(node => node.name).join(', ')}`)
+    if (ready.length > 1) this.violations.push(`two leaders hold a lease: ${ready.map(node => node.name).join(', ')}`)
   }
 
   propose (command: string): void {
@@ -191,14 +191,14 @@
       await turn
     }
     return {
-      load: async () => disk.meta === undefined ? { kind: 'empty' } : { kind: 'found', meta: disk.meta, snapshot: disk.snapshot, entries: [...disk.entries], tornBytes: 0, committed: disk.committed },
+      load: async () => disk.meta === undefined ? { kind: 'empty' } : { kind: 'found', meta: disk.meta, snapshot: disk.snapshot, entries: [...disk.entries], tornBytes: 0, commitIndex: disk.committed },
       wipe: async () => { await write(() => { disk.wipe() }) },
       saveMeta: async meta => { await write(() => { disk.meta = meta }) },
       append: async list => {
         const copy = [...list]
         await write(() => { disk.entries.push(...copy) })
       },
-      noteCommit: index => { write(() => { disk.committed = index }).catch(() => {}) },
+      saveCommitIndex: index => { write(() => { disk.committed = index }).catch(() => {}) },
       truncateFrom: async index => { await write(() => { disk.entries = disk.entries.filter(item => item.index < index) }) },
       saveSnapshot: async (snapshot, keepFrom) => {
         await write(() => {
@@ -212,7 +212,7 @@
 
   private async call (from: string, caller: Process, to: string, msg: state.Rpc): Promise<state.RpcReply> {
     return await new Promise((resolve, reject) => {
-      const isLost = (): boolean => this.random() < this.network.loss || this.network.cut.has(from) || this.network.cut.has(to) || this.network.cutLinks.has([from, to].sort().join(' '))
+      const isLost = (): boolean => this.random() < this.network.loss || this.network.isolated.has(from) || this.network.isolated.has(to) || this.network.brokenLinks.has([from, to].sort().join(' '))
       const fail = (): void => { this.clock.schedule(300, () => { if (!caller.isDead) reject(new Error('no reply')) }) }
       if (isLost()) {
         fail()
--- a/packages/state/__tests__/replicaSchedules.test.ts
+++ b/packages/state/__tests__/replicaSchedules.test.ts
@@ -28,7 +28,7 @@
   const queue = [...plan].sort((a, b) => a.at - b.at)
   for (let at = 0, n = 0; at < 55_000; at += 100) {
     await cluster.clock.advance(100)
-    cluster.look()
+    cluster.checkLeaders()
     if (at % 300 === 0) cluster.propose(`cmd-${n++}`)
     for (const [name, item] of ending) {
       if (item.at > at) continue
@@ -47,7 +47,7 @@
   for (const item of ending.values()) await item.end()
   cluster.network.loss = 0
   await cluster.clock.advance(25_000)
-  cluster.look()
+  cluster.checkLeaders()
   return cluster
 }
 
@@ -60,8 +60,8 @@
       cluster.wipe(name)
       return async () => { await cluster.start(name) }
     case 'cut':
-      cluster.network.cut.add(name)
-      return async () => { cluster.network.cut.delete(name) }
+      cluster.network.isolated.add(name)
+      return async () => { cluster.network.isolated.delete(name) }
     case 'noise':
       cluster.network.loss = 0.15
       cluster.network.delayMs = 25
@@ -73,7 +73,7 @@
 }
 
 function check (t: ava.ExecutionContext, cluster: virtual.VirtualCluster): void {
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
   t.true(cluster.acknowledged.length > 20, `only ${cluster.acknowledged.length} commands were acknowledged`)
   const longest = cluster.names.map(name => cluster.applied(name)).sort((a, b) => b.length - a.length)[0]
   for (const name of cluster.names) t.deepEqual(cluster.applied(name), longest, `${name} holds another history`)
@@ -100,22 +100,22 @@
   await cluster.clock.advance(6000)
   const first = cluster.leader()?.name ?? ''
   const [behind, witness] = cluster.names.filter(name => name !== first)
-  cluster.network.cut.add(behind)
+  cluster.network.isolated.add(behind)
   await cluster.clock.advance(100)
   cluster.propose('precious')
   await cluster.clock.advance(500)
   t.deepEqual(cluster.acknowledged, ['precious'])
   cluster.wipe(witness)
-  cluster.network.cut.add(first)
-  cluster.network.cut.delete(behind)
+  cluster.network.isolated.add(first)
+  cluster.network.isolated.delete(behind)
   await cluster.start(witness)
   await cluster.clock.advance(20_000)
   t.is(cluster.leader(), undefined, 'the wiped replica helped to elect a leader without the entry')
-  cluster.network.cut.delete(first)
+  cluster.network.isolated.delete(first)
   await cluster.clock.advance(20_000)
   t.true(cluster.applied(cluster.leader()?.name ?? '').includes('precious'))
   t.true(cluster.applied(witness).includes('precious'))
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // "A second instance lost right after a repair": the repaired one must count again before the second is lost.
@@ -142,7 +142,7 @@
   t.is(cluster.acknowledged.filter(command => command.startsWith('before')).length, 60)
   t.true(cluster.acknowledged.includes('after'))
   for (const name of cluster.names) t.is(cluster.applied(name).length, 61)
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // A leader is cut off silently and goes on believing. Operators who reach only it must not be told that a change is in
@@ -152,14 +152,14 @@
   for (const name of cluster.names) await cluster.start(name)
   await cluster.clock.advance(6000)
   const isolated = cluster.leader()?.name ?? ''
-  cluster.network.cut.add(isolated)
+  cluster.network.isolated.add(isolated)
   await cluster.clock.advance(1000)
   t.false(cluster.node(isolated).process.replica?.isReady())
   await cluster.clock.advance(6000)
   t.not(cluster.leader()?.name, isolated)
   t.not(cluster.leader(), undefined)
   t.not(cluster.node(isolated).process.replica?.status().role, 'leader')
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // One link breaks, between the leader and one follower. That follower stands for election, and the other one, which hears
@@ -170,13 +170,13 @@
   await cluster.clock.advance(6000)
   const leader = cluster.leader()?.name ?? ''
   const [cutOff] = cluster.names.filter(name => name !== leader)
-  cluster.network.cutLinks.add([leader, cutOff].sort().join(' '))
+  cluster.network.brokenLinks.add([leader, cutOff].sort().join(' '))
   for (let i = 0; i < 1000; i++) {
     await cluster.clock.advance(10)
-    cluster.look()
+    cluster.checkLeaders()
   }
   t.is(cluster.leader()?.name, leader)
-  t.deepEqual(cluster.broken, [])
+  t.deepEqual(cluster.violations, [])
 })
 
 // A leader repeats an append because the first answer took too long. The repeat finds the entries in memory already; its
--- a/packages/state/src/founding.ts
+++ b/packages/state/src/bootstrap.ts
@@ -16,7 +16,7 @@
   switch (found.kind) {
     case 'found':
       if (found.tornBytes > 0) log.event('logTornTail', { group, replica: name, bytes: found.tornBytes })
-      takeUp(core, found.meta, found.snapshot, found.entries, found.committed)
+      takeUp(core, found.meta, found.snapshot, found.entries, found.commitIndex)
       return
     case 'damaged':
       // Damage before the synced end is a lost disk: entries that this replica acknowledged are gone.
@@ -35,7 +35,7 @@
   core.syncedMeta = meta
   if (snapshot !== undefined) {
     core.log.reset(snapshot.lastIndex, snapshot.lastTerm)
-    replication.restore(core, snapshot)
+    replication.restoreSnapshot(core, snapshot)
   }
   core.log.append(list.filter(item => item.index > core.log.base().index))
   core.queuedIndex = core.log.lastIndex()
@@ -58,8 +58,8 @@
   let isAmnesiac = false
   while (core.isRunning) {
     if (core.isVoter()) {
-      if (core.opts.isOpen !== true) return
-      const isForgotten = core.role.kind !== 'leader' && core.opts.clock.now() - core.lastHeardAt > ASK_AGAIN_ELECTIONS * core.timing.electionMaxMs
+      if (core.opts.isDynamic !== true) return
+      const isForgotten = core.role.kind !== 'leader' && core.opts.clock.now() - core.lastContactOrStartAt > ASK_AGAIN_ELECTIONS * core.timing.electionMaxMs
       if (isForgotten) await askForAdmission(core)
       await core.opts.clock.sleep(core.timing.heartbeatMs)
       continue
@@ -91,8 +91,8 @@
   }
   // Guards against founding a second group over a lost disk: only one replica founds, and only when every other one of
   // the settings says in person that it is new as well.
-  const isFounder = core.opts.mayFound !== false && [...core.opts.names].sort()[0] === core.opts.name
-  if (isFounder && known.length === core.opts.names.length && core.meta.founding === null) await adopt(core, known)
+  const isFounder = core.opts.canBootstrap !== false && [...core.opts.founderNames].sort()[0] === core.opts.name
+  if (isFounder && known.length === core.opts.founderNames.length && core.meta.founding === null) await adopt(core, known)
   return false
 }
 
@@ -104,7 +104,7 @@
   core.meta = { ...core.meta, founding }
   await core.saveMeta()
   core.role = { kind: 'follower' }
-  core.waitsSince = core.opts.clock.now()
+  core.electionTimerStartedAt = core.opts.clock.now()
   core.opts.log.event('replicaFounded', { group: core.opts.group, replica: core.opts.name, voters: founding.length })
 }
 
@@ -115,7 +115,7 @@
 }
 
 function toContacts (core: replicaCore.Core): string[] {
-  const names = new Set([...(core.opts.contacts?.() ?? core.opts.names), ...core.voters().map(who => who.name)])
+  const names = new Set([...(core.opts.contacts?.() ?? core.opts.founderNames), ...core.voters().map(who => who.name)])
   names.delete(core.opts.name)
   return [...names]
 }
--- a/packages/state/src/election.ts
+++ b/packages/state/src/election.ts
@@ -19,13 +19,13 @@
     const patience = electionMinMs + random() * (electionMaxMs - electionMinMs)
     await clock.sleep(Math.max(10, quietSince(core) + patience - clock.now()))
     if (!core.isRunning || core.role.kind === 'leader' || !core.isVoter()) {
-      if (core.role.kind === 'leader' || !core.isVoter()) core.waitsSince = clock.now()
+      if (core.role.kind === 'leader' || !core.isVoter()) core.electionTimerStartedAt = clock.now()
       continue
     }
     if (clock.now() - quietSince(core) < patience) continue
     await campaign(core, false, lead)
     // Its own wait begins anew, but it goes on voting: a replica that stood in vain must not be deaf to the next one.
-    core.waitsSince = clock.now()
+    core.electionTimerStartedAt = clock.now()
   }
 }
 
@@ -93,7 +93,7 @@
  * @param msg the request
  * @returns the answer, given only after the vote is synced
  */
-export async function onBallot (core: replicaCore.Core, msg: Ballot): Promise<entries.RpcReply> {
+export async function onVoteRequest (core: replicaCore.Core, msg: Ballot): Promise<entries.RpcReply> {
   const refuse = (): entries.RpcReply => ({ t: 'ballot', from: core.self(), term: core.meta.term, isGranted: false })
   // Guards against amnesia: a replica that lost its disk could vote twice in a term, or elect a leader that lacks
   // committed entries which it had acknowledged. It gets its vote back only by a committed change.
@@ -109,7 +109,7 @@
   const isFree = core.meta.term === msg.term && (core.meta.votedFor === null || core.meta.votedFor === candidate)
   if (!isFree || !isUpToDate) return refuse()
   core.meta = { ...core.meta, votedFor: candidate }
-  core.waitsSince = core.opts.clock.now()
+  core.electionTimerStartedAt = core.opts.clock.now()
   await core.saveMeta()
   checkVoteSynced(core, msg.term, candidate)
   return { t: 'ballot', from: core.self(), term: msg.term, isGranted: true }
@@ -117,12 +117,12 @@
 
 /** @returns since when nothing has spoken against standing for election */
 function quietSince (core: replicaCore.Core): number {
-  return Math.max(core.lastHeardAt, core.waitsSince)
+  return Math.max(core.lastContactOrStartAt, core.electionTimerStartedAt)
 }
 
 function isLeaderAlive (core: replicaCore.Core): boolean {
   if (core.role.kind === 'leader') return core.opts.clock.now() < core.leaseEnd()
-  return core.opts.clock.now() - core.lastHeardAt < core.timing.electionMinMs
+  return core.opts.clock.now() - core.lastContactOrStartAt < core.timing.electionMinMs
 }
 
 /** Guards against a second vote after a crash: the vote leaves this process only when the disk has it. */
--- a/packages/state/src/fileStorage.ts
+++ b/packages/state/src/fileStorage.ts
@@ -18,7 +18,7 @@
  * @param value what to store
  * @returns the record's bytes
  */
-export function toRecord (value: unknown): Buffer {
+export function encodeRecord (value: unknown): Buffer {
   const payload = codec.encode(value)
   const out = Buffer.allocUnsafe(HEADER_BYTES + payload.length)
   out.writeUInt32BE(payload.length, 0)
@@ -28,14 +28,14 @@
 }
 
 /** The records at the start of a file that are whole, and how many bytes they take. */
-export interface Records { values: unknown[], ends: number[], goodBytes: number }
+export interface DecodedRecords { values: unknown[], ends: number[], validBytes: number }
 
 /**
  * Reads records up to the first that is not whole.
  * @param bytes a file's content
  * @returns the records and the end of the last good one
  */
-export function readRecords (bytes: Buffer): Records {
+export function decodeRecords (bytes: Buffer): DecodedRecords {
   const values: unknown[] = []
   const ends: number[] = []
   let at = 0
@@ -49,7 +49,7 @@
     at = end
     ends.push(end)
   }
-  return { values, ends, goodBytes: at }
+  return { values, ends, validBytes: at }
 }
 
 /**
@@ -80,7 +80,7 @@
   // itself, so it may be too low after a power loss but is never too high: a log whose good records end below it lost
   // entries that this replica had acknowledged.
   const mark = async (): Promise<void> => {
-    const content = toRecord(end())
+    const content = encodeRecord(end())
     await marker.write(content, 0, content.length, 0)
   }
 
@@ -88,13 +88,13 @@
   // the disk first. Otherwise a power loss may keep the shorter log and the older, higher mark, and every replica that
   // lost power at that moment would give up its vote.
   const lowerMark = async (end: number): Promise<void> => {
-    const content = toRecord(end)
+    const content = encodeRecord(end)
     await marker.write(content, 0, content.length, 0)
     await marker.datasync()
   }
 
   const rewriteLog = async (kept: readonly entries.Entry[]): Promise<void> => {
-    const records = [...kept.map(toRecord), toRecord(committed)]
+    const records = [...kept.map(encodeRecord), encodeRecord(committed)]
     await lowerMark(0)
     await replaceFiles.replaceFile(folder, 'log', Buffer.concat(records))
     await log.close()
@@ -108,20 +108,20 @@
   const readOne = async (name: string): Promise<unknown> => {
     const bytes = await fs.readFile(file(name)).catch(() => undefined)
     if (bytes === undefined) return undefined
-    const { values, goodBytes } = readRecords(bytes)
+    const { values, validBytes: goodBytes } = decodeRecords(bytes)
     if (values.length !== 1 || goodBytes !== bytes.length) throw new Error(`${name} is damaged`)
     return values[0]
   }
 
   const readLog = async (): Promise<entries.Entry[]> => {
-    const { values } = readRecords(await fs.readFile(file('log')))
+    const { values } = decodeRecords(await fs.readFile(file('log')))
     return values.filter(isEntry).map(value => entries.entry.parse(value))
   }
 
-  const load = async (): Promise<storage.Loaded> => {
+  const load = async (): Promise<storage.LoadResult> => {
     const bytes = await fs.readFile(file('log'))
-    const records = readRecords(bytes)
-    const { values, goodBytes } = records
+    const records = decodeRecords(bytes)
+    const { values, validBytes: goodBytes } = records
     try {
       const rawMeta = await readOne('meta')
       const rawSnapshot = await readOne('snapshot')
@@ -132,7 +132,7 @@
       const list = values.filter(isEntry).map(value => entries.entry.parse(value))
       // Beside entries the log holds numbers: how far entries were committed when the next ones were written.
       const notes = values.filter(value => typeof value === 'number')
-      const synced = readRecords(await fs.readFile(file('synced'))).values[0]
+      const synced = decodeRecords(await fs.readFile(file('synced'))).values[0]
       if (typeof synced === 'number' && goodBytes < synced) return { kind: 'damaged', detail: `log is good up to byte ${goodBytes} of ${synced} synced` }
       const snapshot = rawSnapshot === undefined ? undefined : entries.snapshot.parse(rawSnapshot)
       const detail = findGap(list, snapshot)
@@ -142,9 +142,9 @@
       const entryEnds = records.ends.filter((end, i) => isEntry(values[i]))
       ends = list.map((item, i) => ({ index: item.index, end: entryEnds[i] }))
       size = goodBytes
-      const note = readRecords(await fs.readFile(file('committed')).catch(() => Buffer.alloc(0))).values[0]
+      const note = decodeRecords(await fs.readFile(file('committed')).catch(() => Buffer.alloc(0))).values[0]
       committed = Math.max(0, ...notes, typeof note === 'number' ? note : 0)
-      return { kind: 'found', meta: entries.meta.parse(rawMeta), snapshot, entries: list, tornBytes, committed }
+      return { kind: 'found', meta: entries.meta.parse(rawMeta), snapshot, entries: list, tornBytes, commitIndex: committed }
     } catch (err) {
       return { kind: 'damaged', detail: err instanceof Error ? err.message : String(err) }
     }
@@ -165,13 +165,13 @@
         committed = 0
       })
     },
-    saveMeta: async meta => { await inOrder(async () => { await replaceFiles.replaceFile(folder, 'meta', toRecord(meta)) }) },
+    saveMeta: async meta => { await inOrder(async () => { await replaceFiles.replaceFile(folder, 'meta', encodeRecord(meta)) }) },
     append: async list => {
-      const records = list.map(toRecord)
+      const records = list.map(encodeRecord)
       const indexes = list.map(item => item.index)
       await inOrder(async () => {
         // Synced together with the entries: after a power loss this much is known to be committed.
-        const note = toRecord(committed)
+        const note = encodeRecord(committed)
         await log.appendFile(Buffer.concat([note, ...records]))
         await log.datasync()
         let at = size + note.length
@@ -180,7 +180,7 @@
         await mark()
       })
     },
-    noteCommit (index) {
+    saveCommitIndex (index) {
       committed = index
       if (isNoting) return
       isNoting = true
@@ -188,7 +188,7 @@
       // written is only an older note.
       inOrder(async () => {
         isNoting = false
-        await fs.writeFile(file('committed'), toRecord(committed))
+        await fs.writeFile(file('committed'), encodeRecord(committed))
       }).catch(() => {})
     },
     truncateFrom: async index => {
@@ -203,7 +203,7 @@
     },
     saveSnapshot: async (snapshot, keepFrom) => {
       await inOrder(async () => {
-        await replaceFiles.replaceFile(folder, 'snapshot', toRecord(snapshot))
+        await replaceFiles.replaceFile(folder, 'snapshot', encodeRecord(snapshot))
         const list = await readLog()
         await rewriteLog(list.filter(item => item.index >= keepFrom))
       })
--- a/packages/state/src/fleetMachine.ts
+++ b/packages/state/src/fleetMachine.ts
@@ -45,7 +45,7 @@
 }
 
 /** The fleet's machine, with what readers need of its state. */
-export interface FleetMachine extends replicaOptions.Machine {
+export interface FleetMachine extends replicaOptions.StateMachine {
   version (): number
   document (): contracts.Document | null
   history (): readonly contracts.HistoryItem[]
--- a/packages/state/src/ledgerMachine.ts
+++ b/packages/state/src/ledgerMachine.ts
@@ -33,7 +33,7 @@
 interface State { nowMs: number, forgottenBeforeMs: number, rows: Array<[string, Row]> }
 
 /** The ledger's machine. */
-export interface LedgerMachine extends replicaOptions.Machine {
+export interface LedgerMachine extends replicaOptions.StateMachine {
   /** @returns how many keys are held */
   size (): number
 }
--- a/packages/state/src/repair.ts
+++ b/packages/state/src/membershipChanges.ts
@@ -16,13 +16,13 @@
  * @param from who wants to be admitted
  * @returns whether it is a voter already, and who leads
  */
-export function onJoin (core: replicaCore.Core, from: entries.Member): entries.RpcReply {
+export function onJoinRequest (core: replicaCore.Core, from: entries.Member): entries.RpcReply {
   const id = entries.toMemberId(from)
   const isVoter = core.voters().some(who => entries.toMemberId(who) === id)
-  if (core.role.kind === 'leader' && !isVoter && (core.opts.isOpen === true || core.opts.names.includes(from.name))) {
+  if (core.role.kind === 'leader' && !isVoter && (core.opts.isDynamic === true || core.opts.founderNames.includes(from.name))) {
     forgetEarlierIncarnations(core.role.lead, from)
     core.role.lead.learners.set(id, from)
-    replication.feedPeers(core, core.role.lead)
+    replication.replicateToPeers(core, core.role.lead)
   }
   return { t: 'join', from: core.self(), leader: core.leader, isVoter }
 }
@@ -42,7 +42,7 @@
  * @param lead its leadership
  * @param commitVoters appends a membership entry and waits for its commit
  */
-export async function runRepairs (core: replicaCore.Core, lead: replicaCore.Leadership, commitVoters: (voters: entries.Member[]) => Promise<void>): Promise<void> {
+export async function runMembershipChanges (core: replicaCore.Core, lead: replicaCore.Leadership, commitVoters: (voters: entries.Member[]) => Promise<void>): Promise<void> {
   while (replication.isLeading(core, lead)) {
     await core.opts.clock.sleep(core.timing.heartbeatMs)
     if (!core.isReady() || !isSettled(core)) continue
@@ -59,7 +59,7 @@
 
 /** Two membership changes in flight could have quorums that do not meet. */
 function isSettled (core: replicaCore.Core): boolean {
-  return (core.log.membership()?.index ?? 0) <= core.commit
+  return (core.log.membership()?.index ?? 0) <= core.commitIndex
 }
 
 /**
@@ -76,7 +76,7 @@
   const voters = core.voters()
   if (now - lead.startedAt < RETIRE_SILENT_MS || voters.length <= (core.opts.minVoters ?? 3)) return undefined
   const others = voters.filter(who => entries.toMemberId(who) !== core.selfId())
-  const silentMs = (who: entries.Member): number => now - (lead.peers.get(entries.toMemberId(who))?.ackedSentAt ?? -Infinity)
+  const silentMs = (who: entries.Member): number => now - (lead.peers.get(entries.toMemberId(who))?.lastAckedSentAt ?? -Infinity)
   const silent = others.find(who => silentMs(who) > RETIRE_SILENT_MS)
   if (silent === undefined || others.some(who => who !== silent && silentMs(who) > LIVE_MS)) return undefined
   return silent
@@ -90,11 +90,11 @@
   const voters = core.voters()
   const replaced = voters.find((who, i) => voters.findIndex((other, j) => j > i && other.name === who.name) >= 0)
   if (replaced !== undefined) return { kind: 'retire', member: replaced, voters: voters.filter(who => who !== replaced) }
-  const silent = core.opts.isOpen === true ? findSilent(core, lead) : undefined
+  const silent = core.opts.isDynamic === true ? findSilent(core, lead) : undefined
   if (silent !== undefined) return { kind: 'retire', member: silent, voters: voters.filter(who => who !== silent) }
   for (const [id, member] of lead.learners) {
     const progress = lead.peers.get(id)
-    const isCaughtUp = progress !== undefined && progress.match >= lead.firstIndex && progress.match + CAUGHT_UP_ENTRIES >= core.commit
+    const isCaughtUp = progress !== undefined && progress.matchIndex >= lead.termStartIndex && progress.matchIndex + CAUGHT_UP_ENTRIES >= core.commitIndex
     if (isCaughtUp) return { kind: 'admit', member, voters: [...voters, member] }
   }
   return undefined
--- a/packages/state/src/replica.ts
+++ b/packages/state/src/replica.ts
@@ -4,8 +4,8 @@
  */
 import * as entries from './entries.js'
 import * as election from './election.js'
-import * as founding from './founding.js'
-import * as repair from './repair.js'
+import * as bootstrap from './bootstrap.js'
+import * as membershipChanges from './membershipChanges.js'
 import * as replicaCore from './replicaCore.js'
 import * as replicaOptions from './replicaOptions.js'
 import * as replication from './replication.js'
@@ -32,12 +32,12 @@
    * @param timeoutMs how long to wait for the round
    * @throws ProposalError when this replica does not lead or the round does not end in time
    */
-  confirm (timeoutMs: number): Promise<void>
+  confirmLeadership (timeoutMs: number): Promise<void>
   /** @returns whether this replica leads, has applied all that was committed before, and its lease lasts */
   isReady (): boolean
   leaderName (): string | null
   /** @returns when the group was last known to be alive here: a quorum heard as leader, or the leader heard as voter */
-  heardAt (): number
+  lastContactAt (): number
   status (): ReplicaStatus
   /** Hands leadership to the replica that is furthest, if this one leads, then ends all tasks. */
   stop (): Promise<void>
@@ -50,11 +50,11 @@
  */
 export async function createReplica (opts: replicaOptions.ReplicaOptions): Promise<Replica> {
   const core = replicaCore.createCore(opts)
-  const inbox: replication.SnapshotInbox = { lastIndex: 0, lastTerm: 0, parts: [], bytes: 0 }
+  const inbox: replication.SnapshotAssembly = { lastIndex: 0, lastTerm: 0, parts: [], bytes: 0 }
   let isFlushing = false
 
-  await founding.loadReplica(core)
-  core.lastHeardAt = opts.clock.now()
+  await bootstrap.loadReplica(core)
+  core.lastContactOrStartAt = opts.clock.now()
 
   /** Writes the leader's own entries, many proposals in one sync. */
   const flush = async (): Promise<void> => {
@@ -63,7 +63,7 @@
     try {
       while (core.isRunning && core.queuedIndex < core.log.lastIndex()) {
         await core.persist()
-        core.countAcks()
+        core.commitAcknowledged()
       }
     } catch (err) {
       core.fail(err)
@@ -76,7 +76,7 @@
     const { role } = core
     if (role.kind !== 'leader') throw new replicaOptions.ProposalError('notLeader', core.leader)
     const index = core.log.lastIndex() + 1
-    const outcome = new Promise((resolve, reject) => { role.lead.waiting.set(index, { resolve, reject }) })
+    const outcome = new Promise((resolve, reject) => { role.lead.pendingProposals.set(index, { resolve, reject }) })
     core.log.append([{ index, term: role.lead.term, body }])
     for (const peer of role.lead.peers.values()) peer.wake()
     void flush()
@@ -84,17 +84,17 @@
   }
 
   const lead = async (): Promise<void> => {
-    const leadership = replication.startLeading(core)
+    const leadership = replication.becomeLeader(core)
     void replication.watchLease(core, leadership)
-    void repair.runRepairs(core, leadership, async voters => {
+    void membershipChanges.runMembershipChanges(core, leadership, async voters => {
       const done = appendAsLeader({ kind: 'membership', voters })
-      replication.feedPeers(core, leadership)
+      replication.replicateToPeers(core, leadership)
       await done
     })
     await flush()
   }
 
-  void founding.runJoining(core).catch(core.fail)
+  void bootstrap.runJoining(core).catch(core.fail)
   void election.runElections(core, lead).catch(core.fail)
 
   const handOver = async (): Promise<void> => {
@@ -102,7 +102,7 @@
     if (role.kind !== 'leader') return
     const furthest = [...role.lead.peers.values()]
       .filter(peer => core.voters().some(who => entries.toMemberId(who) === entries.toMemberId(peer.member)))
-      .sort((a, b) => b.match - a.match)[0]
+      .sort((a, b) => b.matchIndex - a.matchIndex)[0]
     // The lease must be given up before anyone is asked to take over: two leaders could answer otherwise.
     core.stepDown('graceful shutdown')
     if (furthest === undefined) return
@@ -112,12 +112,12 @@
   return {
     async handle (msg) {
       switch (msg.t) {
-        case 'hello': return founding.onHello(core)
-        case 'join': return repair.onJoin(core, msg.from)
+        case 'hello': return bootstrap.onHello(core)
+        case 'join': return membershipChanges.onJoinRequest(core, msg.from)
         case 'preVote':
-        case 'vote': return await election.onBallot(core, msg)
+        case 'vote': return await election.onVoteRequest(core, msg)
         case 'append': return await replication.onAppend(core, msg)
-        case 'snapshot': return await replication.onSnapshotPart(core, inbox, msg)
+        case 'snapshot': return await replication.onSnapshotChunk(core, inbox, msg)
         case 'takeOver':
           if (core.isVoter() && msg.term === core.meta.term && core.role.kind !== 'leader') void election.campaign(core, true, lead)
           return { t: 'takeOver', from: core.self() }
@@ -128,26 +128,26 @@
       const atMs = Math.max(core.lastAtMs, opts.clock.wallNow())
       return await appendAsLeader({ kind: 'command', atMs, command })
     },
-    async confirm (timeoutMs) {
+    async confirmLeadership (timeoutMs) {
       const since = opts.clock.now()
       const { role } = core
       if (role.kind !== 'leader') throw new replicaOptions.ProposalError('notLeader', core.leader)
       for (const peer of role.lead.peers.values()) peer.wake()
-      while (core.confirmedAt() < since || core.applied < role.lead.firstIndex) {
+      while (core.lastQuorumContactAt() < since || core.appliedIndex < role.lead.termStartIndex) {
         if (opts.clock.now() - since > timeoutMs) throw new replicaOptions.ProposalError('unknown', null)
         await opts.clock.sleep(CONFIRM_LOOK_MS)
         if (!replication.isLeading(core, role.lead)) throw new replicaOptions.ProposalError('notLeader', core.leader)
       }
     },
     isReady: core.isReady,
-    heardAt: () => core.role.kind === 'leader' ? core.confirmedAt() : core.isVoter() ? core.lastLeaderAt : -Infinity,
+    lastContactAt: () => core.role.kind === 'leader' ? core.lastQuorumContactAt() : core.isVoter() ? core.lastLeaderContactAt : -Infinity,
     leaderName: () => core.leader,
     status: () => ({
       group: opts.group,
       name: opts.name,
       role: core.role.kind === 'follower' && !core.isVoter() ? 'learner' : core.role.kind,
       term: core.meta.term,
-      commit: core.commit,
+      commit: core.commitIndex,
       leader: core.leader,
       voters: core.voters().map(entries.toMemberId),
       learners: core.role.kind === 'leader' ? [...core.role.lead.learners.keys()] : []
--- a/packages/state/src/replicaCore.ts
+++ b/packages/state/src/replicaCore.ts
@@ -7,12 +7,12 @@
 import * as replicaOptions from './replicaOptions.js'
 
 /** How far a peer has come, as its leader knows. */
-export interface Progress {
+export interface PeerProgress {
   member: entries.Member
-  next: number
-  match: number
+  nextIndex: number
+  matchIndex: number
   /** When the last append that it acknowledged was sent. */
-  ackedSentAt: number
+  lastAckedSentAt: number
   /** Wakes the task that feeds it. */
   wake: () => void
 }
@@ -21,11 +21,11 @@
 export interface Leadership {
   term: number
   /** Index of the entry that opened the term. */
-  firstIndex: number
+  termStartIndex: number
   startedAt: number
-  peers: Map<string, Progress>
+  peers: Map<string, PeerProgress>
   learners: Map<string, entries.Member>
-  waiting: Map<number, { resolve: (result: unknown) => void, reject: (err: Error) => void }>
+  pendingProposals: Map<number, { resolve: (result: unknown) => void, reject: (err: Error) => void }>
   isAnnounced: boolean
 }
 
@@ -63,14 +63,14 @@
     role: { kind: 'outside' } as Role,
     leader: null as string | null,
     /** When a leader was last heard; votes are refused for a while after it. */
-    lastHeardAt: clock.now(),
+    lastContactOrStartAt: clock.now(),
     /** When entries or a heartbeat last came from a leader; never before the first. */
-    lastLeaderAt: -Infinity,
+    lastLeaderContactAt: -Infinity,
     /** When this replica last had a reason to wait before it stands for election. */
-    waitsSince: clock.now(),
+    electionTimerStartedAt: clock.now(),
     isRunning: true,
-    commit: 0,
-    applied: 0,
+    commitIndex: 0,
+    appliedIndex: 0,
     lastAtMs: 0,
     snapshotVoters: [] as entries.Member[],
     snapshotIndex: 0,
@@ -110,11 +110,11 @@
       core.role = { kind: 'follower' }
       if (was.kind !== 'leader') return
       core.leader = null
-      core.waitsSince = clock.now()
-      for (const waiter of was.lead.waiting.values()) waiter.reject(new replicaOptions.ProposalError('unknown', null))
+      core.electionTimerStartedAt = clock.now()
+      for (const waiter of was.lead.pendingProposals.values()) waiter.reject(new replicaOptions.ProposalError('unknown', null))
       for (const peer of was.lead.peers.values()) peer.wake()
       opts.log.event('leaderLost', { group: opts.group, replica: opts.name, term: was.lead.term, why })
-      if (was.lead.isAnnounced) opts.onLeadership?.(false)
+      if (was.lead.isAnnounced) opts.onLeadershipChange?.(false)
     },
 
     /** Writes all entries that the disk has not been given yet, and waits until they are synced. */
@@ -132,7 +132,7 @@
 
     /** Removes entries that another leader's log contradicts. */
     async truncateFrom (index: number): Promise<void> {
-      invariants.check('commitNeverReverts', index > core.commit, () => `truncating at ${index}, committed ${core.commit}`)
+      invariants.check('commitNeverReverts', index > core.commitIndex, () => `truncating at ${index}, committed ${core.commitIndex}`)
       log.truncateFrom(index)
       core.syncedIndex = Math.min(core.syncedIndex, index - 1)
       if (index > core.queuedIndex) return
@@ -143,21 +143,21 @@
     /** Commits up to an index and applies what became committed. */
     advanceCommit (index: number): void {
       const to = Math.min(index, log.lastIndex())
-      if (to <= core.commit) return
-      core.commit = to
-      while (core.applied < core.commit) applyNext()
+      if (to <= core.commitIndex) return
+      core.commitIndex = to
+      while (core.appliedIndex < core.commitIndex) applyNext()
       // Only what is synced here: after a restart the replica begins from this entry without asking anyone.
-      disk.noteCommit?.(Math.min(core.commit, core.syncedIndex))
+      disk.saveCommitIndex?.(Math.min(core.commitIndex, core.syncedIndex))
       core.maybeSnapshot()
     },
 
     /** As leader: commits what a quorum of voters has synced. */
-    countAcks (): void {
+    commitAcknowledged (): void {
       const { role } = core
       if (role.kind !== 'leader') return
       const matches = core.voters().map(who => {
         const id = entries.toMemberId(who)
-        return id === core.selfId() ? core.syncedIndex : role.lead.peers.get(id)?.match ?? 0
+        return id === core.selfId() ? core.syncedIndex : role.lead.peers.get(id)?.matchIndex ?? 0
       })
       const index = matches.sort((a, b) => b - a)[core.quorum() - 1] ?? 0
       // An entry of an earlier term may be overwritten even when a quorum holds it, so only one of this term commits it.
@@ -166,16 +166,16 @@
 
     /** @returns until when no other replica can lead, by the acknowledgements of a quorum */
     leaseEnd (): number {
-      return core.confirmedAt() + core.timing.electionMinMs * LEASE_SHARE
+      return core.lastQuorumContactAt() + core.timing.electionMinMs * LEASE_SHARE
     },
 
     /** @returns when the latest append was sent that a quorum has acknowledged, as leader */
-    confirmedAt (): number {
+    lastQuorumContactAt (): number {
       const { role } = core
       if (role.kind !== 'leader') return -Infinity
       const sent = core.voters().map(who => {
         const id = entries.toMemberId(who)
-        return id === core.selfId() ? clock.now() : role.lead.peers.get(id)?.ackedSentAt ?? -Infinity
+        return id === core.selfId() ? clock.now() : role.lead.peers.get(id)?.lastAckedSentAt ?? -Infinity
       })
       return sent.sort((a, b) => b - a)[core.quorum() - 1] ?? -Infinity
     },
@@ -184,18 +184,18 @@
     isReady (): boolean {
       const { role } = core
       if (role.kind !== 'leader') return false
-      return core.applied >= role.lead.firstIndex && clock.now() < core.leaseEnd()
+      return core.appliedIndex >= role.lead.termStartIndex && clock.now() < core.leaseEnd()
     },
 
     /** Takes a snapshot when enough was applied since the last one. */
     maybeSnapshot (): void {
-      if (core.applied - core.snapshotIndex < snapshotEvery) return
+      if (core.appliedIndex - core.snapshotIndex < snapshotEvery) return
       const snapshot: entries.Snapshot = {
-        lastIndex: core.applied,
-        lastTerm: log.termAt(core.applied) ?? 0,
+        lastIndex: core.appliedIndex,
+        lastTerm: log.termAt(core.appliedIndex) ?? 0,
         lastAtMs: core.lastAtMs,
-        voters: votersAt(core.applied),
-        state: opts.machine.save()
+        voters: votersAt(core.appliedIndex),
+        state: opts.stateMachine.save()
       }
       core.lastSnapshot = snapshot
       core.snapshotIndex = snapshot.lastIndex
@@ -227,18 +227,18 @@
   }
 
   const applyNext = (): void => {
-    const item = log.at(core.applied + 1)
-    if (item === undefined) throw new Error(`entry ${core.applied + 1} is committed but not held`)
-    core.applied = item.index
+    const item = log.at(core.appliedIndex + 1)
+    if (item === undefined) throw new Error(`entry ${core.appliedIndex + 1} is committed but not held`)
+    core.appliedIndex = item.index
     let result: unknown
     if (item.body.kind === 'command') {
       core.lastAtMs = item.body.atMs
-      result = opts.machine.apply(item.body.command, { index: item.index, atMs: item.body.atMs })
+      result = opts.stateMachine.apply(item.body.command, { index: item.index, atMs: item.body.atMs })
     }
     const { role } = core
     if (role.kind !== 'leader') return
-    const waiter = role.lead.waiting.get(item.index)
-    role.lead.waiting.delete(item.index)
+    const waiter = role.lead.pendingProposals.get(item.index)
+    role.lead.pendingProposals.delete(item.index)
     waiter?.resolve(result)
   }
 
--- a/packages/state/src/replicaOptions.ts
+++ b/packages/state/src/replicaOptions.ts
@@ -6,7 +6,7 @@
 import * as storage from './storage.js'
 
 /** The state that a group replicates. Applying must depend on nothing but the command and its context. */
-export interface Machine {
+export interface StateMachine {
   /** Applies a committed command. @returns what the proposer gets */
   apply (command: unknown, ctx: { index: number, atMs: number }): unknown
   /** @returns the whole state */
@@ -41,20 +41,20 @@
   /** Name of this replica. */
   name: string
   /** Names of the replicas that found the group; in a closed group these are all replicas there will ever be. */
-  names: readonly string[]
+  founderNames: readonly string[]
   /** Whether this replica may take part in founding; false after a restart with an empty disk. Default: true. */
-  mayFound?: boolean
+  canBootstrap?: boolean
   /** Names to greet and to ask for admission; the founders when absent. */
   contacts?: () => readonly string[]
   /** Whether replicas that are no founders may be admitted, and voters that stay silent retired. */
-  isOpen?: boolean
+  isDynamic?: boolean
   /** How fast failures are noticed; that of a fleet's control instances when absent. */
   timing?: ReplicaTiming
   /** The fewest voters that retiring silent ones may leave. */
   minVoters?: number
   storage: storage.Storage
   transport: Transport
-  machine: Machine
+  stateMachine: StateMachine
   clock: clocks.Clock
   /** A number in [0, 1). */
   random: () => number
@@ -65,7 +65,7 @@
   /** Applied entries between two snapshots. */
   snapshotEvery?: number
   /** Told when this replica starts to lead (and is ready) or stops. */
-  onLeadership?: (isLeader: boolean) => void
+  onLeadershipChange?: (isLeader: boolean) => void
   /** Told once when the disk failed and this replica can do nothing more. */
   onFailed?: () => void
 }
--- a/packages/state/src/replication.ts
+++ b/packages/state/src/replication.ts
@@ -13,21 +13,21 @@
  * @param core the replica, which has won an election
  * @returns what the leader keeps for its term
  */
-export function startLeading (core: replicaCore.Core): replicaCore.Leadership {
+export function becomeLeader (core: replicaCore.Core): replicaCore.Leadership {
   const lead: replicaCore.Leadership = {
     term: core.meta.term,
-    firstIndex: core.log.lastIndex() + 1,
+    termStartIndex: core.log.lastIndex() + 1,
     startedAt: core.opts.clock.now(),
     peers: new Map(),
     learners: new Map(),
-    waiting: new Map(),
+    pendingProposals: new Map(),
     isAnnounced: false
   }
   core.role = { kind: 'leader', lead }
   core.leader = core.opts.name
-  core.log.append([{ index: lead.firstIndex, term: lead.term, body: { kind: 'noop' } }])
+  core.log.append([{ index: lead.termStartIndex, term: lead.term, body: { kind: 'noop' } }])
   core.opts.log.event('leaderElected', { group: core.opts.group, replica: core.opts.name, term: lead.term })
-  feedPeers(core, lead)
+  replicateToPeers(core, lead)
   return lead
 }
 
@@ -36,12 +36,12 @@
  * @param core the replica
  * @param lead its leadership
  */
-export function feedPeers (core: replicaCore.Core, lead: replicaCore.Leadership): void {
+export function replicateToPeers (core: replicaCore.Core, lead: replicaCore.Leadership): void {
   const members = [...core.voters(), ...lead.learners.values()]
   for (const member of members) {
     const id = entries.toMemberId(member)
     if (id === core.selfId() || lead.peers.has(id)) continue
-    const progress: replicaCore.Progress = { member, next: core.log.lastIndex() + 1, match: 0, ackedSentAt: -Infinity, wake: () => {} }
+    const progress: replicaCore.PeerProgress = { member, nextIndex: core.log.lastIndex() + 1, matchIndex: 0, lastAckedSentAt: -Infinity, wake: () => {} }
     lead.peers.set(id, progress)
     void feedPeer(core, lead, progress)
   }
@@ -57,39 +57,39 @@
   return core.isRunning && core.role.kind === 'leader' && core.role.lead === lead && core.meta.term === lead.term
 }
 
-async function feedPeer (core: replicaCore.Core, lead: replicaCore.Leadership, progress: replicaCore.Progress): Promise<void> {
+async function feedPeer (core: replicaCore.Core, lead: replicaCore.Leadership, progress: replicaCore.PeerProgress): Promise<void> {
   const id = entries.toMemberId(progress.member)
   while (isLeading(core, lead) && lead.peers.get(id) === progress) {
     const woken = new Promise<void>(resolve => { progress.wake = resolve })
     const isReached = await sendNext(core, lead, progress).catch(() => false)
     if (!isLeading(core, lead)) return
-    core.countAcks()
-    const isBehind = progress.next <= core.log.lastIndex()
+    core.commitAcknowledged()
+    const isBehind = progress.nextIndex <= core.log.lastIndex()
     if (isReached && isBehind) continue
     await Promise.race([core.opts.clock.sleep(core.timing.heartbeatMs), ...(isReached ? [woken] : [])])
   }
 }
 
-async function sendNext (core: replicaCore.Core, lead: replicaCore.Leadership, progress: replicaCore.Progress): Promise<boolean> {
-  const prevIndex = progress.next - 1
+async function sendNext (core: replicaCore.Core, lead: replicaCore.Leadership, progress: replicaCore.PeerProgress): Promise<boolean> {
+  const prevIndex = progress.nextIndex - 1
   const prevTerm = core.log.termAt(prevIndex)
   if (prevTerm === undefined) return await sendSnapshot(core, lead, progress)
-  const list = core.log.from(progress.next, MAX_ENTRIES)
+  const list = core.log.from(progress.nextIndex, MAX_ENTRIES)
   const sentAt = core.opts.clock.now()
-  const reply = await core.opts.transport.call(progress.member.name, { t: 'append', term: lead.term, leader: core.self(), prevIndex, prevTerm, entries: list, commit: core.commit })
+  const reply = await core.opts.transport.call(progress.member.name, { t: 'append', term: lead.term, leader: core.self(), prevIndex, prevTerm, entries: list, commit: core.commitIndex })
   if (!await isFromPeer(core, lead, progress, reply, sentAt)) return false
   if (reply.t !== 'append') return false
   if (!reply.isOk) {
-    progress.next = Math.max(1, Math.min(progress.next - 1, reply.tryNext))
+    progress.nextIndex = Math.max(1, Math.min(progress.nextIndex - 1, reply.tryNext))
     return true
   }
-  progress.match = Math.max(progress.match, reply.match)
-  progress.next = progress.match + 1
+  progress.matchIndex = Math.max(progress.matchIndex, reply.match)
+  progress.nextIndex = progress.matchIndex + 1
   return true
 }
 
 /** Takes the term and the acknowledgement out of a reply, if it is from the member that was asked. */
-async function isFromPeer (core: replicaCore.Core, lead: replicaCore.Leadership, progress: replicaCore.Progress, reply: entries.RpcReply, sentAt: number): Promise<boolean> {
+async function isFromPeer (core: replicaCore.Core, lead: replicaCore.Leadership, progress: replicaCore.PeerProgress, reply: entries.RpcReply, sentAt: number): Promise<boolean> {
   if (reply.t !== 'append') return false
   if (reply.term > lead.term) {
     await core.observeTerm(reply.term)
@@ -98,11 +98,11 @@
   // Guards against amnesia: the acknowledgements of a wiped replica must not count for the member it used to be.
   if (entries.toMemberId(reply.from) !== entries.toMemberId(progress.member)) return false
   if (!isLeading(core, lead)) return false
-  progress.ackedSentAt = Math.max(progress.ackedSentAt, sentAt)
+  progress.lastAckedSentAt = Math.max(progress.lastAckedSentAt, sentAt)
   return true
 }
 
-async function sendSnapshot (core: replicaCore.Core, lead: replicaCore.Leadership, progress: replicaCore.Progress): Promise<boolean> {
+async function sendSnapshot (core: replicaCore.Core, lead: replicaCore.Leadership, progress: replicaCore.PeerProgress): Promise<boolean> {
   const snapshot = core.lastSnapshot
   if (snapshot === undefined) return false
   const total = snapshot.state.length
@@ -115,8 +115,8 @@
     if (reply.t !== 'append' || !reply.isOk) return false
     offset += data.length
   } while (offset < total)
-  progress.match = Math.max(progress.match, snapshot.lastIndex)
-  progress.next = progress.match + 1
+  progress.matchIndex = Math.max(progress.matchIndex, snapshot.lastIndex)
+  progress.nextIndex = progress.matchIndex + 1
   return true
 }
 
@@ -135,7 +135,7 @@
       core.stepDown('no quorum answers')
       return
     }
-    announce(core, lead)
+    announceLeadership(core, lead)
   }
 }
 
@@ -144,10 +144,10 @@
  * @param core the replica
  * @param lead its leadership
  */
-export function announce (core: replicaCore.Core, lead: replicaCore.Leadership): void {
+export function announceLeadership (core: replicaCore.Core, lead: replicaCore.Leadership): void {
   if (lead.isAnnounced || !core.isReady()) return
   lead.isAnnounced = true
-  core.opts.onLeadership?.(true)
+  core.opts.onLeadershipChange?.(true)
 }
 
 /**
@@ -163,8 +163,8 @@
   const base = log.base()
   if (msg.prevIndex > log.lastIndex()) return reply(false, 0, log.lastIndex() + 1)
   // A leader of this term holds everything that was committed before; one that contradicts it would undo what was acknowledged.
-  if (msg.prevIndex >= base.index && msg.prevIndex <= core.commit) {
-    core.opts.invariants.check('commitNeverReverts', log.termAt(msg.prevIndex) === msg.prevTerm, () => `the leader of term ${msg.term} has term ${msg.prevTerm} at ${msg.prevIndex}, committed ${core.commit}`)
+  if (msg.prevIndex >= base.index && msg.prevIndex <= core.commitIndex) {
+    core.opts.invariants.check('commitNeverReverts', log.termAt(msg.prevIndex) === msg.prevTerm, () => `the leader of term ${msg.term} has term ${msg.prevTerm} at ${msg.prevIndex}, committed ${core.commitIndex}`)
   }
   if (msg.prevIndex >= base.index && log.termAt(msg.prevIndex) !== msg.prevTerm) return reply(false, 0, firstOfTerm(core, msg.prevIndex))
   const fresh = msg.entries.filter(item => item.index > base.index)
@@ -189,8 +189,8 @@
   if (core.meta.term !== msg.term) return false
   if (core.role.kind !== 'follower') core.role = { kind: 'follower' }
   core.leader = msg.leader.name
-  core.lastHeardAt = core.opts.clock.now()
-  core.lastLeaderAt = core.lastHeardAt
+  core.lastContactOrStartAt = core.opts.clock.now()
+  core.lastLeaderContactAt = core.lastContactOrStartAt
   if (core.meta.founding === null) {
     core.meta = { ...core.meta, founding: [] }
     await core.saveMeta()
@@ -202,11 +202,11 @@
   const term = core.log.termAt(index)
   let first = index
   while (first - 1 > core.log.base().index && core.log.termAt(first - 1) === term) first--
-  return Math.max(first, core.commit + 1)
+  return Math.max(first, core.commitIndex + 1)
 }
 
 /** Puts the parts of a snapshot together. */
-export interface SnapshotInbox { lastIndex: number, lastTerm: number, parts: Uint8Array[], bytes: number }
+export interface SnapshotAssembly { lastIndex: number, lastTerm: number, parts: Uint8Array[], bytes: number }
 
 /**
  * Takes a part of a snapshot; installs it with the last one.
@@ -215,7 +215,7 @@
  * @param msg the part
  * @returns whether it fitted
  */
-export async function onSnapshotPart (core: replicaCore.Core, inbox: SnapshotInbox, msg: SnapshotPart): Promise<entries.RpcReply> {
+export async function onSnapshotChunk (core: replicaCore.Core, inbox: SnapshotAssembly, msg: SnapshotPart): Promise<entries.RpcReply> {
   const reply = (isOk: boolean): entries.RpcReply => ({ t: 'append', from: core.self(), term: Math.max(msg.term, isOk ? 0 : core.meta.term), isOk, match: 0, tryNext: 0 })
   if (!await follow(core, msg)) return reply(false)
   if (msg.offset === 0) Object.assign(inbox, { lastIndex: msg.lastIndex, lastTerm: msg.lastTerm, parts: [], bytes: 0 })
@@ -225,7 +225,7 @@
   if (inbox.bytes < msg.total) return reply(true)
   const snapshot: entries.Snapshot = { lastIndex: msg.lastIndex, lastTerm: msg.lastTerm, lastAtMs: msg.lastAtMs, voters: msg.voters, state: Buffer.concat(inbox.parts) }
   inbox.parts = []
-  if (snapshot.lastIndex > core.commit) await install(core, snapshot)
+  if (snapshot.lastIndex > core.commitIndex) await install(core, snapshot)
   return reply(true)
 }
 
@@ -238,7 +238,7 @@
     core.queuedIndex = snapshot.lastIndex
     core.syncedIndex = snapshot.lastIndex
   }
-  restore(core, snapshot)
+  restoreSnapshot(core, snapshot)
   core.opts.log.event('snapshotInstalled', { group: core.opts.group, replica: core.opts.name, index: snapshot.lastIndex })
   await core.opts.storage.saveSnapshot(snapshot, hasSuffix ? snapshot.lastIndex + 1 : Number.MAX_SAFE_INTEGER)
 }
@@ -248,12 +248,12 @@
  * @param core the replica, whose log already begins behind the snapshot
  * @param snapshot the state
  */
-export function restore (core: replicaCore.Core, snapshot: entries.Snapshot): void {
-  core.opts.machine.restore(snapshot.state)
+export function restoreSnapshot (core: replicaCore.Core, snapshot: entries.Snapshot): void {
+  core.opts.stateMachine.restore(snapshot.state)
   core.lastSnapshot = snapshot
   core.snapshotIndex = snapshot.lastIndex
   core.snapshotVoters = snapshot.voters
   core.lastAtMs = snapshot.lastAtMs
-  core.commit = Math.max(core.commit, snapshot.lastIndex)
-  core.applied = snapshot.lastIndex
+  core.commitIndex = Math.max(core.commitIndex, snapshot.lastIndex)
+  core.appliedIndex = snapshot.lastIndex
 }
--- a/packages/state/src/storage.ts
+++ b/packages/state/src/storage.ts
@@ -2,15 +2,15 @@
 import * as entries from './entries.js'
 
 /** What was found when a replica started. */
-export type Loaded =
+export type LoadResult =
   | { kind: 'empty' }
   | { kind: 'damaged', detail: string }
-  | { kind: 'found', meta: entries.Meta, snapshot: entries.Snapshot | undefined, entries: entries.Entry[], tornBytes: number, /** An entry up to which all are known to be committed. */ committed: number }
+  | { kind: 'found', meta: entries.Meta, snapshot: entries.Snapshot | undefined, entries: entries.Entry[], tornBytes: number, /** An entry up to which all are known to be committed. */ commitIndex: number }
 
 /** The disk of one replica. A promise that resolves means synced; one that rejects is fatal for the replica. */
 export interface Storage {
   /** Reads what is there. */
-  load (): Promise<Loaded>
+  load (): Promise<LoadResult>
   /** Removes everything, before a replica with a damaged folder starts anew. */
   wipe (): Promise<void>
   /** Writes term, vote and founding. */
@@ -18,7 +18,7 @@
   /** Writes entries behind the last one. */
   append (list: readonly entries.Entry[]): Promise<void>
   /** Notes, without syncing, up to where entries are committed; what a restart finds may be lower. */
-  noteCommit? (index: number): void
+  saveCommitIndex? (index: number): void
   /** Removes the entry with this index and all behind it. */
   truncateFrom (index: number): Promise<void>
   /** Writes a snapshot and removes the entries before `keepFrom`. */
--- a/packages/trials/__tests__/ownership.test.ts
+++ b/packages/trials/__tests__/ownership.test.ts
@@ -127,7 +127,7 @@
   const url = `${fleet.routers[0].url}/v1/chat/completions`
   t.is((await small.post(url, 'clerks', chat('before'))).status, 200)
   await fleet.controls[0].shutdown()
-  await small.until(() => fleet.routers[0].member.leaseLeftMs() < 0)
+  await small.until(() => fleet.routers[0].member.leaseRemainingMs() < 0)
   const runs = fleet.engines[0].runs.size
   const reply = await small.post(url, 'clerks', chat('after'))
   t.is(small.toError(reply).code, 'not_serving')
--- a/packages/trials/src/benchRun.ts
+++ b/packages/trials/src/benchRun.ts
@@ -14,7 +14,7 @@
 /** What a run is told. */
 export interface BenchInput {
   deployment: 'suwanrat' | 'vanua'
-  policy: routing.Policy
+  policy: routing.PlacementPolicy
   isImporting: boolean
   loadFactor: number
   seed: number
--- a/packages/trials/src/localFleet.ts
+++ b/packages/trials/src/localFleet.ts
@@ -27,7 +27,7 @@
   /** Put a relay before each router's peer address. */
   isRelayed?: boolean
   checksFencing?: boolean
-  policy?: routing.Policy
+  policy?: routing.PlacementPolicy
   isImporting?: boolean
   /** Seeds the routers' own choices. */
   random?: () => number
--- a/packages/trials/src/slopes.ts
+++ b/packages/trials/src/slopes.ts
@@ -58,12 +58,12 @@
   const candidates = Array.from({ length: size }, (_, i) => ({ id: `engine-${i}`, zone: 'z', weight: 1 }))
   const rounds = Math.ceil(200_000 / size)
   const startedAt = performance.now()
-  for (let i = 0; i < rounds; i++) routing.rank({ key: `chat-${i}`, candidates })
+  for (let i = 0; i < rounds; i++) routing.rankByRendezvous({ key: `chat-${i}`, candidates })
   return { size, value: (performance.now() - startedAt) * 1000 / rounds }
 }))
 note('chat held by a spill memory, memory', 'bytes a chat', [5000, 20_000, 50_000].map(size => {
   const before = heapBytes()
-  const memory = routing.createSpillMemory()
+  const memory = routing.createAffinityTable()
   for (let i = 0; i < size; i++) memory.set(`${crypto.createHash('md5').update(String(i)).digest('hex').slice(0, 24)}\nengine-${i % 400}`, `engine-${(i * 7) % 400}`)
   const after = heapBytes()
   return { size, value: after - before + (memory.get('x')?.length ?? 0) }
@@ -156,7 +156,7 @@
       log: silentLog,
       invariants,
       loads: () => [{ pool: 'assistant', load: 3, endpoints: 2, weight: 2 }, { pool: 'bookings', load: 1, endpoints: 1, weight: 1 }],
-      takeDemand: () => [{ account: 'clerks', count: 2 }, { account: 'archive', count: 1 }]
+      collectDemand: () => [{ account: 'clerks', count: 2 }, { account: 'archive', count: 1 }]
     }))
   }
   await localFleet.until(() => members.every(member => member.isServing()))
