--- a/packages/coordination/__tests__/controlNode.test.ts
+++ b/packages/coordination/__tests__/controlInstance.test.ts
@@ -21,16 +21,16 @@
   return `127.0.0.1:${port}`
 }
 
-interface TestNode { inner: string, folder: string, node: coordination.ControlNode }
+interface TestNode { inner: string, folder: string, node: coordination.ControlInstance }
 
 async function start (inner: string, founders: string[], folder: string, mayFound: boolean): Promise<TestNode> {
   const log = telemetry.createLog({ instance: inner, level: 'silent' })
-  const node = await coordination.startControlNode({
+  const node = await coordination.startControlInstance({
     inner,
     founders,
     mayFound,
     contacts: () => founders,
-    lostDisks: 1,
+    maxFailedDisks: 1,
     dataFolder: folder,
     secret: 'test',
     log,
@@ -95,12 +95,12 @@
   await nodes[0].node.store.put(toDocument(7, 'seven'), 5000)
   const record: discovery.EndpointRecord = { kind: 'endpoint', id: 'e1', startedAt: 1, seq: 1, zone: 'z', state: 'ready', service: 's', address: '10.0.0.1:80', slots: 8, coldMs: 0 }
   await nodes[0].node.announce(record)
-  await until('all have it', () => nodes.every(item => item.node.store.held()?.version === 7 && item.node.table.get('e1') !== undefined))
+  await until('all have it', () => nodes.every(item => item.node.store.latest()?.version === 7 && item.node.table.get('e1') !== undefined))
   await timers.setTimeout(200)
   await stopAll(nodes, false)
   const founders = nodes.map(item => item.inner)
   const alone = await start(nodes[1].inner, founders, nodes[1].folder, false)
-  t.is(toText(alone.node.store.held()), 'seven')
+  t.is(toText(alone.node.store.latest()), 'seven')
   t.is(alone.node.table.get('e1')?.record.state, 'ready')
   t.false(alone.node.store.isCurrent())
   await t.throwsAsync(alone.node.store.read(300), undefined, 'a read needs a quorum')
--- a/packages/coordination/__tests__/documentStore.test.ts
+++ b/packages/coordination/__tests__/documentStore.test.ts
@@ -42,9 +42,9 @@
       founders: names,
       mayFound: true,
       contacts: () => names,
-      lostDisks: 1,
+      maxFailedDisks: 1,
       dataFolder: folderOf(name),
-      reach: reach(name),
+      getPeerLink: reach(name),
       onChange: () => {},
       log,
       invariants: telemetry.createInvariants({ log, isFatal: true })
@@ -57,7 +57,7 @@
     async leader () {
       const end = performance.now() + WAIT_MS
       while (performance.now() < end) {
-        const led = names.find(name => !cut.has(name) && stores.get(name)?.leads() === true && stores.get(name)?.isCurrent() === true)
+        const led = names.find(name => !cut.has(name) && stores.get(name)?.isLeader() === true && stores.get(name)?.isCurrent() === true)
         if (led !== undefined) return led
         await timers.setTimeout(20)
       }
@@ -97,7 +97,7 @@
   await putUntilStored(get(group, leader), toDocument(1))
   t.is((await get(group, leader).read(2000))?.version, 1)
   group.cut(leader)
-  t.true(get(group, leader).leads(), 'it still believes that it leads')
+  t.true(get(group, leader).isLeader(), 'it still believes that it leads')
   await t.throwsAsync(get(group, leader).read(400))
   await group.close()
 })
@@ -143,7 +143,7 @@
   for (const folder of blocked) await fs.mkdir(folder)
   group.cut(leader)
   await timers.setTimeout(2500)
-  t.false(others.some(name => get(group, name).leads()), 'nobody leads without a disk')
+  t.false(others.some(name => get(group, name).isLeader()), 'nobody leads without a disk')
   for (const folder of blocked) await fs.rmdir(folder)
   const next = await group.leader()
   t.not(next, leader)
--- a/packages/coordination/src/controlNode.ts
+++ b/packages/coordination/src/controlInstance.ts
@@ -11,7 +11,7 @@
 import * as recordFiles from './recordFile.js'
 
 /** What a control instance is built from. */
-export interface ControlNodeOptions {
+export interface ControlInstanceOptions {
   /** IP number and port for the other instances; also the name of this one. */
   inner: string
   /** Inner addresses of the instances that found the group. */
@@ -21,7 +21,7 @@
   /** Inner addresses of control instances as the settings name them now. */
   contacts: () => readonly string[]
   /** How many disks may be lost at once. */
-  lostDisks: number
+  maxFailedDisks: number
   dataFolder: string
   /** What all instances of the fleet must know. */
   secret: string
@@ -32,7 +32,7 @@
 }
 
 /** A running control instance. */
-export interface ControlNode {
+export interface ControlInstance {
   store: documentStores.DocumentStore
   table: discovery.RecordTable
   /** Takes an announcement; resolves when the change is on its way to all instances. */
@@ -47,7 +47,7 @@
  * @param opts its addresses, disk and fleet
  * @returns the instance, which may not be part of the group yet
  */
-export async function startControlNode (opts: ControlNodeOptions): Promise<ControlNode> {
+export async function startControlInstance (opts: ControlInstanceOptions): Promise<ControlInstance> {
   const { log } = opts
   const table = discovery.createRecordTable()
   let isStopping = false
@@ -73,9 +73,9 @@
     founders: opts.founders,
     mayFound: opts.mayFound,
     contacts: opts.contacts,
-    lostDisks: opts.lostDisks,
+    maxFailedDisks: opts.maxFailedDisks,
     dataFolder: opts.dataFolder,
-    reach,
+    getPeerLink: reach,
     onChange: () => { onDocument() },
     log,
     invariants: opts.invariants
@@ -87,10 +87,10 @@
   const publisher = discovery.createPublisher({
     self: opts.inner,
     table,
-    others: () => store.others(),
-    reach,
-    version: () => store.held()?.version ?? 0,
-    documentSince: store.since,
+    peerAddresses: () => store.peerAddresses(),
+    getPeerLink: reach,
+    version: () => store.latest()?.version ?? 0,
+    packDocumentSince: store.packSince,
     budget: discovery.createSendBudget(opts.linkBytesPerMs ?? Infinity),
     isCurrent: () => !isStopping && store.isCurrent(),
     onChange () {
@@ -100,10 +100,10 @@
     log
   })
 
-  const handoutFile = handoutFiles.createHandoutFile(opts.dataFolder, () => store.held() === null ? undefined : publisher.whole(), log)
+  const handoutFile = handoutFiles.createHandoutFile(opts.dataFolder, () => store.latest() === null ? undefined : publisher.toFullReply(), log)
 
   onDocument = () => {
-    log.event('documentAccepted', { version: store.held()?.version })
+    log.event('documentAccepted', { version: store.latest()?.version })
     publisher.publishDocument()
     handoutFile.save()
   }
@@ -111,7 +111,7 @@
   const server = await links.listen(opts.inner, linkSettings, link => {
     if (link.peer.role === 'control') book.add(link)
   })
-  const timer = setInterval(() => { publisher.tick() }, discovery.TICK_MS)
+  const timer = setInterval(() => { publisher.tick() }, discovery.TICK_INTERVAL_MS)
   publisher.tick()
 
   return {
--- a/packages/coordination/src/controlMetrics.ts
+++ b/packages/coordination/src/controlMetrics.ts
@@ -1,11 +1,11 @@
 /** The metrics of a control instance of the forwarding fleet. */
 import * as prom from 'prom-client'
-import type * as controlNodes from './controlNode.js'
+import type * as controlInstances from './controlInstance.js'
 
-const SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4]
+const BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4]
 
 /** The metrics of a control instance. */
-export interface ControlNodeMetrics {
+export interface ControlMetrics {
   registry: prom.Registry
   /** Calls of operators and endpoints by kind and status. */
   calls: prom.Histogram<'call' | 'status'>
@@ -17,19 +17,19 @@
  * @param droppedLines log lines that were left out so far
  * @returns the metrics and their registry
  */
-export function createControlNodeMetrics (node: controlNodes.ControlNode, droppedLines: () => number): ControlNodeMetrics {
+export function createControlMetrics (node: controlInstances.ControlInstance, droppedLines: () => number): ControlMetrics {
   const registry = new prom.Registry()
   const registers = [registry]
   const gauge = (name: string, help: string, read: () => number): void => {
     const created = new prom.Gauge({ name, help, registers, collect () { created.set(read()) } })
   }
-  gauge('kingcupdeck_document_version', 'Version of the document held here', () => node.store.held()?.version ?? 0)
+  gauge('kingcupdeck_document_version', 'Version of the document held here', () => node.store.latest()?.version ?? 0)
   gauge('kingcupdeck_control_current', 'Whether a quorum of control instances was heard lately', () => node.store.isCurrent() ? 1 : 0)
-  gauge('kingcupdeck_control_leads', 'Whether this instance leads the group of the document', () => node.store.leads() ? 1 : 0)
+  gauge('kingcupdeck_control_leads', 'Whether this instance leads the group of the document', () => node.store.isLeader() ? 1 : 0)
   gauge('kingcupdeck_records', 'Endpoints and entry instances that are known and not gone', () => node.table.all().filter(item => item.state !== 'gone').length)
   gauge('kingcupdeck_log_lines_dropped', 'Log lines that were left out to stay within bounds', droppedLines)
   return {
     registry,
-    calls: new prom.Histogram({ name: 'kingcupdeck_control_call_seconds', help: 'Calls of operators and endpoints, by kind and status', labelNames: ['call', 'status'], buckets: SECONDS, registers })
+    calls: new prom.Histogram({ name: 'kingcupdeck_control_call_seconds', help: 'Calls of operators and endpoints, by kind and status', labelNames: ['call', 'status'], buckets: BUCKETS_SECONDS, registers })
   }
 }
--- a/packages/coordination/src/documentMachine.ts
+++ b/packages/coordination/src/documentMachine.ts
@@ -18,7 +18,7 @@
 /** The machine, with what readers need of its state. */
 export interface DocumentMachine extends state.Machine {
   /** @returns the latest document, or null before the first */
-  held (): contracts.VersionedText | null
+  latest (): contracts.VersionedText | null
 }
 
 const codec = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
@@ -29,7 +29,7 @@
  * @param put version and digest of the document that is put
  * @returns the result, or undefined where the document is newer
  */
-export function judgeOld (held: contracts.VersionedText | null, put: { version: number, digest: string }): PutResult | undefined {
+export function resolveStalePut (held: contracts.VersionedText | null, put: { version: number, digest: string }): PutResult | undefined {
   if (held === null || put.version > held.version) return undefined
   if (put.version < held.version) return { kind: 'behind', version: held.version }
   return { kind: put.digest === held.digest ? 'held' : 'conflict', version: held.version }
@@ -44,7 +44,7 @@
   let held: contracts.VersionedText | null = null
 
   const put = (packed: contracts.PackedText): PutResult => {
-    const old = judgeOld(held, packed)
+    const old = resolveStalePut(held, packed)
     if (old !== undefined) return old
     const text = contracts.unpackText(packed, held)
     if (text === undefined) return { kind: 'needsWhole', version: held?.version ?? 0 }
@@ -61,6 +61,6 @@
       held = saved === null ? null : contracts.unpackText(saved, null) ?? null
       onChange()
     },
-    held: () => held
+    latest: () => held
   }
 }
--- a/packages/coordination/src/documentStore.ts
+++ b/packages/coordination/src/documentStore.ts
@@ -36,10 +36,10 @@
   /** Inner addresses of control instances as the settings name them now. */
   contacts: () => readonly string[]
   /** How many disks may be lost at once. */
-  lostDisks: number
+  maxFailedDisks: number
   dataFolder: string
   /** @returns a link to another control instance */
-  reach: (address: string) => Promise<links.Link>
+  getPeerLink: (address: string) => Promise<links.Link>
   onChange: () => void
   log: telemetry.Log
   invariants: telemetry.Invariants
@@ -48,9 +48,9 @@
 /** The document on one control instance. */
 export interface DocumentStore {
   /** @returns the document as applied here, which may be behind */
-  held (): contracts.VersionedText | null
+  latest (): contracts.VersionedText | null
   /** @returns the document as applied here, packed for a reader who holds a version of it, or null if that is the latest */
-  since (version: number): contracts.PackedText | null
+  packSince (version: number): contracts.PackedText | null
   /**
    * Stores a document, at whichever replica leads.
    * @throws Error when the outcome is not known in time; the same document may be sent again
@@ -66,9 +66,9 @@
   /** @returns whether a quorum, or a leader with one, was heard lately */
   isCurrent (): boolean
   /** @returns inner addresses of the other members of the group */
-  others (): string[]
+  peerAddresses (): string[]
   /** @returns whether this instance leads the group */
-  leads (): boolean
+  isLeader (): boolean
   stop (): Promise<void>
 }
 
@@ -79,12 +79,12 @@
  */
 const TIMING: state.ReplicaTiming = { heartbeatMs: 200, electionMinMs: 700, electionMaxMs: 1300 }
 /** Longer than a sync of a slow disk, shorter than an election. */
-const RPC_MS = 800
+const RPC_TIMEOUT_MS = 800
 /** A replica is current while its group was heard within this time: two heartbeats and a stall of the process. */
-const CURRENT_MS = 1500
+const CURRENT_TIMEOUT_MS = 1500
 /** Pause before a replica whose disk failed is started again; a full disk stays full for seconds. */
-const RESTART_MS = 700
-const RETRY_MS = 60
+const RESTART_PAUSE_MS = 700
+const RETRY_PAUSE_MS = 60
 /** A replica that starts applies up to so many differences before it can hand out the document. */
 const SNAPSHOT_ENTRIES = 30
 
@@ -105,7 +105,7 @@
   let isTelling = false
 
   const onChange = (packed?: contracts.PackedText): void => {
-    const now = machine.held()
+    const now = machine.latest()
     // A replica that starts again applies its log from the beginning; what was told before is not told again.
     if (now === null || (best !== null && now.version <= best.version)) return
     best = now
@@ -122,8 +122,8 @@
 
   const transport: state.Transport = {
     async call (name, msg) {
-      const link = await opts.reach(name)
-      return state.rpcReply.parse(await link.call({ t: 'replica', msg } satisfies DocumentCall, RPC_MS))
+      const link = await opts.getPeerLink(name)
+      return state.rpcReply.parse(await link.call({ t: 'replica', msg } satisfies DocumentCall, RPC_TIMEOUT_MS))
     }
   }
 
@@ -134,7 +134,7 @@
     replica = undefined
     await failed?.stop().catch(err => { opts.log.event('replicaRestarted', { step: 'stop', detail: String(err) }) })
     while (!stopped.signal.aborted) {
-      await timers.setTimeout(RESTART_MS)
+      await timers.setTimeout(RESTART_PAUSE_MS)
       try {
         replica = await create()
         opts.log.event('replicaRestarted', { step: 'started' })
@@ -155,7 +155,7 @@
       contacts: opts.contacts,
       isDynamic: true,
       timing: TIMING,
-      minVoters: Math.max(3, 2 * opts.lostDisks + 1),
+      minVoters: Math.max(3, 2 * opts.maxFailedDisks + 1),
       storage: await state.createFileStorage(path.join(opts.dataFolder, GROUP)),
       transport,
       stateMachine: machine,
@@ -181,7 +181,7 @@
    * two thousand; whole, each change takes the leader's link of a few Mbit/s half a second for eight followers.
    */
   const putHere = async (document: contracts.VersionedText): Promise<documentMachines.PutResult> => {
-    const from = proposed ?? machine.held()
+    const from = proposed ?? machine.latest()
     if (from === null || document.version > from.version) proposed = document
     if (from === null) return await propose(contracts.packFull(document))
     const result = await propose(contracts.packDelta(from, document))
@@ -192,7 +192,7 @@
   const readHere = async (timeoutMs: number): Promise<contracts.VersionedText | null> => {
     if (replica === undefined) throw new Error('the replica is being restarted')
     await replica.confirmLeadership(timeoutMs)
-    return machine.held()
+    return machine.latest()
   }
 
   /** Tries here or at the leader until it works or the time is over. */
@@ -201,26 +201,26 @@
     let last: unknown = new Error('no leader is known')
     while (true) {
       const leftMs = until - performance.now()
-      if (leftMs <= RETRY_MS) throw last
+      if (leftMs <= RETRY_PAUSE_MS) throw last
       const name = leader()
       try {
         if (name === opts.self) return await links.withTimeout(here(leftMs), leftMs, 'no outcome')
-        if (name !== null) return await links.withTimeout(opts.reach(name).then(async link => await there(link, leftMs)), leftMs, 'no outcome')
+        if (name !== null) return await links.withTimeout(opts.getPeerLink(name).then(async link => await there(link, leftMs)), leftMs, 'no outcome')
       } catch (err) {
         last = err
       }
-      await timers.setTimeout(RETRY_MS)
+      await timers.setTimeout(RETRY_PAUSE_MS)
     }
   }
 
   replica = await create()
 
   return {
-    held: () => best,
-    since: history.since,
+    latest: () => best,
+    packSince: history.packSince,
     async put (document, timeoutMs) {
       // What is applied is committed: an older document or a resend needs no leader.
-      const old = documentMachines.judgeOld(best, document)
+      const old = documentMachines.resolveStalePut(best, document)
       if (old !== undefined) return old
       return await retry(timeoutMs, async () => await putHere(document), async (link, leftMs) => {
         const call: DocumentCall = { t: 'put', packed: contracts.packFull(document) }
@@ -245,21 +245,21 @@
           return await putHere(document)
         }
         case 'read': {
-          const held = await readHere(RPC_MS)
+          const held = await readHere(RPC_TIMEOUT_MS)
           const isSame = held !== null && held.version === call.version
           return { packed: isSame || held === null ? null : contracts.packFull(held), isSame } satisfies ReadReply
         }
       }
     },
-    isCurrent: () => replica !== undefined && performance.now() - replica.lastContactAt() < CURRENT_MS,
-    others () {
+    isCurrent: () => replica !== undefined && performance.now() - replica.lastContactAt() < CURRENT_TIMEOUT_MS,
+    peerAddresses () {
       const voters = replica?.status().voters.map(id => id.split('#')[0]) ?? []
       if (voters.length > 0) lastVoters = voters
       const all = new Set([...lastVoters, ...opts.contacts()])
       all.delete(opts.self)
       return [...all]
     },
-    leads: () => leader() === opts.self,
+    isLeader: () => leader() === opts.self,
     async stop () {
       stopped.abort()
       await replica?.stop()
--- a/packages/coordination/src/handoutFile.ts
+++ b/packages/coordination/src/handoutFile.ts
@@ -4,10 +4,10 @@
  */
 import * as discovery from '@kingcupdeck/discovery'
 import * as telemetry from '@kingcupdeck/telemetry'
-import * as keptFiles from './keptFile.js'
+import * as writeBehindFiles from './writeBehindFile.js'
 
 /** Changes that follow each other are written together: a whole document is packed for each write. */
-const GATHER_MS = 250
+const BATCH_DELAY_MS = 250
 
 /**
  * Creates the keeper of the file.
@@ -16,11 +16,11 @@
  * @param log where failures are noted
  * @returns the keeper
  */
-export function createHandoutFile (folder: string, content: () => discovery.DiscoveryReply | undefined, log: telemetry.Log): keptFiles.KeptFile {
-  return keptFiles.createKeptFile({
+export function createHandoutFile (folder: string, content: () => discovery.DiscoveryReply | undefined, log: telemetry.Log): writeBehindFiles.WriteBehindFile {
+  return writeBehindFiles.createWriteBehindFile({
     folder,
     name: discovery.HANDOUT_FILE,
-    gatherMs: GATHER_MS,
+    batchDelayMs: BATCH_DELAY_MS,
     content () {
       const reply = content()
       return reply === undefined ? undefined : discovery.packHandout(discovery.encodeReply(reply))
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,5 +1,5 @@
 /** Public face of coordination: the control instance of the forwarding fleet. */
 export type * from './controlMetrics.js'
-export * from './controlNode.js'
+export * from './controlInstance.js'
 export * from './documentMachine.js'
 export * from './documentStore.js'
--- a/packages/coordination/src/recordFile.ts
+++ b/packages/coordination/src/recordFile.ts
@@ -8,12 +8,12 @@
 import * as contracts from '@kingcupdeck/contracts'
 import * as discovery from '@kingcupdeck/discovery'
 import * as telemetry from '@kingcupdeck/telemetry'
-import * as keptFiles from './keptFile.js'
+import * as writeBehindFiles from './writeBehindFile.js'
 
-const NAME = 'records'
+const FILE_NAME = 'records'
 
 /** Keeps records in a file. */
-export interface RecordFile extends keptFiles.KeptFile {
+export interface RecordFile extends writeBehindFiles.WriteBehindFile {
   /** @returns what the file holds */
   load: () => Promise<discovery.Record[]>
 }
@@ -31,9 +31,9 @@
     return `${contracts.sha256(text)}\n${text}`
   }
   return {
-    ...keptFiles.createKeptFile({ folder, name: NAME, gatherMs: 0, content, log }),
+    ...writeBehindFiles.createWriteBehindFile({ folder, name: FILE_NAME, batchDelayMs: 0, content, log }),
     async load () {
-      const [digest, text] = (await fs.readFile(path.join(folder, NAME), 'utf8').catch(() => '')).split('\n')
+      const [digest, text] = (await fs.readFile(path.join(folder, FILE_NAME), 'utf8').catch(() => '')).split('\n')
       if (text === undefined || contracts.sha256(text) !== digest) return []
       return discovery.record.array().parse(JSON.parse(text))
     }
--- a/packages/coordination/src/keptFile.ts
+++ b/packages/coordination/src/writeBehindFile.ts
@@ -7,19 +7,19 @@
 import * as telemetry from '@kingcupdeck/telemetry'
 
 /** What a kept file is built from. */
-export interface KeptFileOptions {
+export interface WriteBehindFileOptions {
   /** The folder where it lies. */
   folder: string
   name: string
   /** How long a write waits for further changes, milliseconds. */
-  gatherMs: number
+  batchDelayMs: number
   /** @returns what is to be written now, or undefined if there is nothing yet */
   content: () => string | Buffer | undefined
   log: telemetry.Log
 }
 
 /** Keeps a file. */
-export interface KeptFile {
+export interface WriteBehindFile {
   /** Has the file written as things are then; calls that come while it is written are served together. */
   save: () => void
   /** Takes no further calls and waits for the last write. */
@@ -31,14 +31,14 @@
  * @param opts the file and what goes into it
  * @returns the keeper
  */
-export function createKeptFile (opts: KeptFileOptions): KeptFile {
+export function createWriteBehindFile (opts: WriteBehindFileOptions): WriteBehindFile {
   let isWaiting = false
   let isClosed = false
   let writing: Promise<void> | undefined
 
   const write = async (): Promise<void> => {
     while (isWaiting) {
-      if (opts.gatherMs > 0) await timers.setTimeout(opts.gatherMs)
+      if (opts.batchDelayMs > 0) await timers.setTimeout(opts.batchDelayMs)
       isWaiting = false
       const content = opts.content()
       if (content !== undefined) await state.replaceFile(opts.folder, opts.name, content)
--- a/packages/discovery/__tests__/documents.test.ts
+++ b/packages/discovery/__tests__/documentFetcher.test.ts
@@ -19,14 +19,14 @@
   for (const control of controls) control.put(toDocument(1))
   const entry = helper.startEntry('e1', controls.map(item => item.address))
   await helper.until('the first document is there', () => entry.documents.at(-1)?.version === 1)
-  const before = controls.reduce((sum, item) => sum + item.sent(), 0)
+  const before = controls.reduce((sum, item) => sum + item.sentBytes(), 0)
   for (let version = 2; version <= 21; version++) {
     for (const control of controls) control.put(toDocument(version))
     await timers.setTimeout(5)
   }
   await helper.until('the last document is there', () => entry.documents.at(-1)?.version === 21)
   t.deepEqual(entry.documents.at(-1)?.text, toDocument(21).text)
-  const bytes = controls.reduce((sum, item) => sum + item.sent(), 0) - before
+  const bytes = controls.reduce((sum, item) => sum + item.sentBytes(), 0) - before
   t.true(bytes < 20_000, `${bytes} bytes for 20 changes; one document is ${contracts.packFull(toDocument(1)).body.length} bytes`)
   entry.stop()
   await Promise.all(controls.map(async item => { await item.close() }))
@@ -39,7 +39,7 @@
   control.put(toDocument(1, 20))
   const entry = helper.startEntry('e1', [control.address])
   await helper.until('the document is there', () => entry.documents.at(-1)?.version === 1)
-  t.is(control.fetches(), 0)
+  t.is(control.fetchCount(), 0)
   entry.stop()
   await control.close()
 })
@@ -48,12 +48,12 @@
 // The other three help to hand it out.
 test('a large first document is handed out by all control instances', async t => {
   const others: string[] = []
-  const controls = await Promise.all([0, 1, 2, 3, 4, 5].map(async () => await helper.startControl({ others })))
+  const controls = await Promise.all([0, 1, 2, 3, 4, 5].map(async () => await helper.startControl({ peerAddresses: others })))
   others.push(...controls.map(item => item.address))
   for (const control of controls) control.put(toDocument(1, 8000))
   const entries = Array.from({ length: 24 }, (_, i) => helper.startEntry(`e${i}`, controls.slice(0, 3).map(item => item.address)))
   await helper.until('all have it', () => entries.every(item => item.documents.at(-1)?.version === 1))
-  const byOthers = controls.slice(3).reduce((sum, item) => sum + item.fetches(), 0)
+  const byOthers = controls.slice(3).reduce((sum, item) => sum + item.fetchCount(), 0)
   // Half of 24 on average; fewer than 4 by chance once in 5,000 runs.
   t.true(byOthers >= 4, `${byOthers} of 24`)
   for (const entry of entries) entry.stop()
@@ -62,14 +62,14 @@
 
 // The control instance that announced a document freezes before it hands it out; another one that holds it is asked.
 test('a document that one control instance does not hand out is fetched from another', async t => {
-  const mute = await helper.startControl({ isSilentOnFetch: true })
+  const mute = await helper.startControl({ isUnresponsiveToFetch: true })
   const sound = await helper.startControl()
   const entry = helper.startEntry('e1', [mute.address, sound.address])
   await timers.setTimeout(300)
   mute.put(toDocument(3))
   sound.put(toDocument(3))
   await helper.until('the document is there', () => entry.documents.at(-1)?.version === 3)
-  t.true(sound.fetches() >= 1)
+  t.true(sound.fetchCount() >= 1)
   entry.stop()
   await Promise.all([mute.close(), sound.close()])
 })
@@ -87,7 +87,7 @@
   t.is(entry.documents.at(-1)?.version, 1, 'and not only when the silent subscription is renewed')
   control.tick()
   await timers.setTimeout(100)
-  t.is(control.fetches(), 1, 'and not again')
+  t.is(control.fetchCount(), 1, 'and not again')
   entry.stop()
   await control.close()
 })
@@ -96,17 +96,17 @@
 // would refuse routes that the operators were told are in force.
 test('an older document is not taken', async t => {
   const sound = await helper.startControl({ isTicking: true })
-  const wrong = await helper.startControl({ said: 9 })
+  const wrong = await helper.startControl({ reportedVersion: 9 })
   const entry = helper.startEntry('e1', [sound.address])
   sound.put(toDocument(5))
   await helper.until('the document is there', () => entry.documents.at(-1)?.version === 5)
   wrong.put(toDocument(3))
   entry.seeds.push(wrong.address)
-  await helper.until('the other one is asked', () => wrong.fetches() > 0)
+  await helper.until('the other one is asked', () => wrong.fetchCount() > 0)
   await timers.setTimeout(1500)
   t.deepEqual(entry.documents.map(item => item.version), [5])
   // It is left for 0.2, 0.4 and 0.8 s.
-  t.true(wrong.fetches() <= 6, `asked without end: ${wrong.fetches()} times`)
+  t.true(wrong.fetchCount() <= 6, `asked without end: ${wrong.fetchCount()} times`)
   entry.stop()
   await Promise.all([sound.close(), wrong.close()])
 })
@@ -119,8 +119,8 @@
   control.put(document)
   const entries = Array.from({ length: 5 }, (_, i) => helper.startEntry(`e${i}`, [control.address]))
   await helper.until('all have it', () => entries.every(item => item.documents.at(-1)?.version === 1))
-  t.true(control.fetches() > entries.length)
-  t.is(control.subscriptions(), entries.length, 'and leaves nobody')
+  t.true(control.fetchCount() > entries.length)
+  t.is(control.subscribeCount(), entries.length, 'and leaves nobody')
   for (const entry of entries) entry.stop()
   await control.close()
 })
--- a/packages/discovery/__tests__/handout.test.ts
+++ b/packages/discovery/__tests__/handout.test.ts
@@ -23,7 +23,7 @@
 
 async function serve (t: ava.ExecutionContext, inner: string, body: Buffer, mostBytes = Infinity): Promise<discovery.HandoutServer> {
   return await new Promise((resolve, reject) => {
-    const server = discovery.startHandout({ address: discovery.toHandoutAddress(inner), secret: SECRET, body, mostBytes }, () => { resolve(server) }, reject)
+    const server = discovery.startHandoutServer({ address: discovery.toHandoutAddress(inner), secret: SECRET, body, maxTotalBytes: mostBytes }, () => { resolve(server) }, reject)
     t.teardown(() => { server.close() })
   })
 }
@@ -40,7 +40,7 @@
   const server = await serve(t, inner, body)
   t.true((await discovery.fetchHandout(discovery.toHandoutAddress(inner), SECRET)).equals(body))
   await t.throwsAsync(discovery.fetchHandout(discovery.toHandoutAddress(inner), 'another-secret-of'))
-  await helper.until('nobody is served', () => !server.state().isBusy)
+  await helper.until('nobody is served', () => !server.activity().isBusy)
 })
 
 // A large fleet loses its power. Were all instances handed a large document, a link of a few Mbit/s would be full of them for
@@ -118,6 +118,6 @@
   })
   await helper.until('it has the document', () => entry.documents.length === 1)
   release()
-  await helper.until('it listens', () => entry.currentSince() > 0)
+  await helper.until('it listens', () => entry.quorumSince() > 0)
   t.deepEqual(entry.documents.map(item => item.version), [5])
 })
--- a/packages/discovery/__tests__/helpers/testControl.ts
+++ b/packages/discovery/__tests__/helpers/testControl.ts
@@ -13,13 +13,13 @@
 export interface TestControl {
   address: string
   /** Bytes that it sent. */
-  sent: () => number
+  sentBytes: () => number
   /** Times that the document was asked for. */
-  fetches: () => number
+  fetchCount: () => number
   /** Times that somebody subscribed. */
-  subscriptions: () => number
+  subscribeCount: () => number
   /** Links of entry instances that are open. */
-  subscribers: () => number
+  openLinkCount: () => number
   put: (document: contracts.VersionedText) => void
   tick: () => void
   close: () => Promise<void>
@@ -28,7 +28,7 @@
 /** How a control instance under test behaves. */
 export interface ControlOptions {
   /** Never answers when its document is asked for. */
-  isSilentOnFetch?: boolean
+  isUnresponsiveToFetch?: boolean
   /** Announces new documents; by default it does. */
   isAnnouncing?: boolean
   /** Says that it heard from a quorum; by default it does. */
@@ -36,9 +36,9 @@
   /** Ticks by itself, four times as often as it should. */
   isTicking?: boolean
   /** Addresses of the other control instances. */
-  others?: string[]
+  peerAddresses?: string[]
   /** The version it says it holds, whatever it holds. */
-  said?: number
+  reportedVersion?: number
   /** What its link carries, bytes a millisecond; by default all that is asked for. */
   bytesPerMs?: number
 }
@@ -54,29 +54,29 @@
   const port = (): number => listening?.port ?? 0
   const since = (version: number): contracts.PackedText | null => {
     const latest = texts.at(-1)
-    if (latest === undefined || (latest.version <= version && opts.said === undefined)) return null
+    if (latest === undefined || (latest.version <= version && opts.reportedVersion === undefined)) return null
     const from = texts.find(item => item.version === version)
     return from === undefined ? contracts.packFull(latest) : contracts.packDelta(from, latest)
   }
   const publisher = discovery.createPublisher({
     get self () { return `127.0.0.1:${port()}` },
     table: discovery.createRecordTable(),
-    others: () => opts.others ?? [],
-    reach: async () => { throw new Error('there are no others') },
-    version: () => opts.said ?? texts.at(-1)?.version ?? 0,
-    documentSince: since,
+    peerAddresses: () => opts.peerAddresses ?? [],
+    getPeerLink: async () => { throw new Error('there are no others') },
+    version: () => opts.reportedVersion ?? texts.at(-1)?.version ?? 0,
+    packDocumentSince: since,
     budget: discovery.createSendBudget(opts.bytesPerMs ?? Infinity),
     isCurrent: () => opts.isCurrent !== false,
     log
   })
-  const ticking = opts.isTicking === true ? setInterval(() => { publisher.tick() }, discovery.TICK_MS / 4) : undefined
+  const ticking = opts.isTicking === true ? setInterval(() => { publisher.tick() }, discovery.TICK_INTERVAL_MS / 4) : undefined
   const handlers: links.LinkHandlers = {
     onEvent (body) { publisher.onEvent(discovery.discoveryEvent.parse(body)) },
     async onCall (body, link) {
       const call = discovery.discoveryCall.parse(body)
       if (call.t === 'fetch') fetches++
       if (call.t === 'subscribe') subscriptions++
-      if (call.t === 'fetch' && opts.isSilentOnFetch === true) return await new Promise(() => {})
+      if (call.t === 'fetch' && opts.isUnresponsiveToFetch === true) return await new Promise(() => {})
       return await publisher.onCall(call, link)
     }
   }
@@ -84,10 +84,10 @@
   const server = listening = await links.listen('127.0.0.1:0', cfg, link => { open.push(link) })
   return {
     address: `127.0.0.1:${server.port}`,
-    sent: () => bytes,
-    fetches: () => fetches,
-    subscriptions: () => subscriptions,
-    subscribers: () => open.filter(link => link.isOpen()).length,
+    sentBytes: () => bytes,
+    fetchCount: () => fetches,
+    subscribeCount: () => subscriptions,
+    openLinkCount: () => open.filter(link => link.isOpen()).length,
     put (document) {
       texts.push(document)
       if (opts.isAnnouncing !== false) publisher.publishDocument()
@@ -102,7 +102,7 @@
 }
 
 /** An entry instance under test. */
-export interface TestEntry { documents: contracts.VersionedText[], seeds: string[], subscriptions: () => number, currentSince: () => number, stop: () => void }
+export interface TestEntry { documents: contracts.VersionedText[], seeds: string[], subscriptionCount: () => number, quorumSince: () => number, stop: () => void }
 
 /** Starts an entry instance that subscribes; with a clock that stands still no control instance falls silent. */
 export function startEntry (id: string, seeds: string[], now?: () => number, handout?: (address: string) => Promise<Uint8Array>): TestEntry {
@@ -120,9 +120,9 @@
     onRecords: () => {},
     log,
     now,
-    handout
+    fetchHandout: handout
   })
-  return { documents, seeds, subscriptions: subscriber.subscriptions, currentSince: subscriber.currentSince, stop: subscriber.stop }
+  return { documents, seeds, subscriptionCount: subscriber.subscriptionCount, quorumSince: subscriber.quorumSince, stop: subscriber.stop }
 }
 
 /** Waits until something holds. */
--- a/packages/discovery/__tests__/recordTable.test.ts
+++ b/packages/discovery/__tests__/recordTable.test.ts
@@ -15,10 +15,10 @@
 test('a sign of life does not hide the change before it', t => {
   const table = discovery.createRecordTable()
   table.merge(toRecord({ seq: 9 }), 0)
-  t.true(table.hear(['e1', 1, 11], 10))
+  t.true(table.applyHeartbeat(['e1', 1, 11], 10))
   t.is(table.merge(toRecord({ seq: 10, state: 'leaving' }), 20), 'changed')
   t.is(table.get('e1')?.record.state, 'leaving')
-  t.is(table.get('e1')?.heardSeq, 11)
+  t.is(table.get('e1')?.lastSeenSeq, 11)
 })
 
 // A runner says that it is gone to an instance that heard nineteen of its announcements, while the entry instance knows the
@@ -46,8 +46,8 @@
 test('a sign of a former life is not one of the present', t => {
   const table = discovery.createRecordTable()
   table.merge(toRecord({ startedAt: 5, seq: 1 }), 0)
-  t.false(table.hear(['e1', 4, 90], 10))
-  t.is(table.get('e1')?.heardAt, 0)
+  t.false(table.applyHeartbeat(['e1', 4, 90], 10))
+  t.is(table.get('e1')?.lastSeenAt, 0)
 })
 
 test('the order in which news arrives does not matter', t => {
--- a/packages/discovery/__tests__/sendBudget.test.ts
+++ b/packages/discovery/__tests__/sendBudget.test.ts
@@ -16,7 +16,7 @@
   for (let now = 0; now < 5000; now += 10) {
     // Each of 22 instances asks again until it has the document.
     for (let asker = sentAt.length; asker < 22; asker++) {
-      if (!budget.take(DOCUMENT_BYTES, now)) break
+      if (!budget.tryReserve(DOCUMENT_BYTES, now)) break
       sentAt.push(now)
       leavesAt = Math.max(leavesAt, now) + DOCUMENT_BYTES / BYTES_PER_MS
       t.true(leavesAt - now < 400, `${leavesAt - now} ms`)
@@ -29,5 +29,5 @@
 
 test('a link whose speed is not known is not held back', t => {
   const budget = sendBudgets.createSendBudget(Infinity)
-  for (let i = 0; i < 1000; i++) t.true(budget.take(DOCUMENT_BYTES, 0))
+  for (let i = 0; i < 1000; i++) t.true(budget.tryReserve(DOCUMENT_BYTES, 0))
 })
--- a/packages/discovery/__tests__/subscriptions.test.ts
+++ b/packages/discovery/__tests__/subscriptions.test.ts
@@ -20,8 +20,8 @@
   const create = (self: 'one' | 'two', other: 'one' | 'two'): discovery.Publisher => discovery.createPublisher({
     self,
     table: tableOf[self],
-    others: () => [other],
-    async reach () {
+    peerAddresses: () => [other],
+    async getPeerLink () {
       if (!state.isUp) throw new Error('cut')
       const publisher = other === 'one' ? one : two
       return {
@@ -30,7 +30,7 @@
       } as unknown as links.Link
     },
     version: () => 0,
-    documentSince: () => null,
+    packDocumentSince: () => null,
     isCurrent: () => true,
     log
   })
@@ -76,13 +76,13 @@
 test('a control instance that falls silent is left for another', async t => {
   const silent = await helper.startControl()
   const entry = helper.startEntry('i1', [silent.address])
-  await helper.until('it listens', () => silent.subscribers() === 1)
-  await helper.until('it has left', () => silent.subscribers() === 0)
+  await helper.until('it listens', () => silent.openLinkCount() === 1)
+  await helper.until('it has left', () => silent.openLinkCount() === 0)
   const sound = await helper.startControl({ isTicking: true })
   entry.seeds.splice(0, 1, sound.address)
-  await helper.until('it listens to the other', () => sound.subscribers() === 1)
+  await helper.until('it listens to the other', () => sound.openLinkCount() === 1)
   await timers.setTimeout(3000)
-  t.is(sound.subscribers(), 1)
+  t.is(sound.openLinkCount(), 1)
   entry.stop()
   await Promise.all([silent.close(), sound.close()])
 })
@@ -92,11 +92,11 @@
 test('a control instance without a quorum is exchanged for one with', async t => {
   const cut = await Promise.all([0, 1, 2].map(async () => await helper.startControl({ isTicking: true, isCurrent: false })))
   const entry = helper.startEntry('i1', cut.map(item => item.address))
-  await helper.until('it listens to three', () => entry.subscriptions() === 3)
+  await helper.until('it listens to three', () => entry.subscriptionCount() === 3)
   const sound = await helper.startControl({ isTicking: true })
   entry.seeds.push(sound.address)
-  await helper.until('it listens to the one with a quorum', () => sound.subscribers() === 1)
-  t.true(cut.filter(item => item.subscribers() > 0).length < 3)
+  await helper.until('it listens to the one with a quorum', () => sound.openLinkCount() === 1)
+  t.true(cut.filter(item => item.openLinkCount() > 0).length < 3)
   entry.stop()
   await Promise.all([...cut, sound].map(async item => { await item.close() }))
 })
@@ -109,10 +109,10 @@
   const publisher = discovery.createPublisher({
     self: 'c',
     table: discovery.createRecordTable(),
-    others: () => [],
-    reach: async () => { throw new Error('there are no others') },
+    peerAddresses: () => [],
+    getPeerLink: async () => { throw new Error('there are no others') },
     version: () => 0,
-    documentSince: () => null,
+    packDocumentSince: () => null,
     isCurrent: () => true,
     log
   })
@@ -131,19 +131,19 @@
 test('news that was interrupted counts from when it is back', async t => {
   const control = await helper.startControl()
   const entry = helper.startEntry('i1', [control.address])
-  await helper.until('it listens', () => control.subscribers() === 1)
+  await helper.until('it listens', () => control.openLinkCount() === 1)
   control.tick()
-  await helper.until('there is news', () => entry.currentSince() > 0)
-  const since = entry.currentSince()
+  await helper.until('there is news', () => entry.quorumSince() > 0)
+  const since = entry.quorumSince()
   await timers.setTimeout(300)
   control.tick()
   await timers.setTimeout(100)
-  t.is(entry.currentSince(), since, 'a tick later nothing was interrupted')
-  await helper.until('the silent one was left and asked again', () => control.subscribers() === 0)
-  await helper.until('it listens again', () => control.subscribers() === 1)
+  t.is(entry.quorumSince(), since, 'a tick later nothing was interrupted')
+  await helper.until('the silent one was left and asked again', () => control.openLinkCount() === 0)
+  await helper.until('it listens again', () => control.openLinkCount() === 1)
   await timers.setTimeout(500)
   control.tick()
-  await helper.until('there is news again', () => entry.currentSince() > since)
+  await helper.until('there is news again', () => entry.quorumSince() > since)
   t.pass()
   entry.stop()
   await control.close()
@@ -158,11 +158,11 @@
     entry.stop()
     await Promise.all(controls.map(async item => { await item.close() }))
   })
-  await helper.until('it listens to three', () => controls.filter(item => item.subscribers() === 1).length === 3)
+  await helper.until('it listens to three', () => controls.filter(item => item.openLinkCount() === 1).length === 3)
   for (const control of controls) control.tick()
   await timers.setTimeout(200)
-  const before = controls.map(item => item.subscribers())
-  clock += 1.9 * discovery.TICK_MS
+  const before = controls.map(item => item.openLinkCount())
+  clock += 1.9 * discovery.TICK_INTERVAL_MS
   await timers.setTimeout(600)
-  t.deepEqual(controls.map(item => item.subscribers()), before)
+  t.deepEqual(controls.map(item => item.openLinkCount()), before)
 })
--- a/packages/discovery/src/documentFetcher.ts
+++ b/packages/discovery/src/documentFetcher.ts
@@ -19,9 +19,9 @@
   address: string
   /** The version that it said it holds. */
   version: number
-  link: () => Promise<links.Link>
+  getLink: () => Promise<links.Link>
   /** Whether the link is opened for this and closed after it. */
-  isForThis?: boolean
+  isLinkTemporary?: boolean
   /** Told when it did not hand out what it said it holds. */
   onFailure: (why: string) => void
 }
@@ -31,9 +31,9 @@
   /** Control instances that this instance listens to, the one to be asked first before others. */
   controls: () => DocumentSource[]
   /** Inner addresses of the other entry instances, in random order. */
-  peers: () => readonly string[]
+  peerAddresses: () => readonly string[]
   /** @returns a link to another entry instance */
-  reachPeer: (address: string) => Promise<links.Link>
+  getPeerLink: (address: string) => Promise<links.Link>
   /** Takes a newer document, with the time since it was first heard of, milliseconds. */
   onDocument: (document: contracts.VersionedText, waitedMs: number) => void
   /** How much of its link this instance may fill with documents for others. */
@@ -48,25 +48,25 @@
   /** @returns the version that is held, 0 without one */
   version (): number
   /** @returns the newest version that any instance said it holds */
-  newest (): number
+  newestVersion (): number
   /** Takes a document that came with another answer. */
-  take (packed: contracts.PackedText | null): void
+  accept (packed: contracts.PackedText | null): void
   /** Asks for the document over a link. @returns the answer, whose document was taken */
-  ask (link: links.Link): Promise<messages.DiscoveryReply>
+  fetchOver (link: links.Link): Promise<messages.DiscoveryReply>
   /** Notes the version that another entry instance holds. */
-  notePeer (address: string, version: number): void
+  notePeerVersion (address: string, version: number): void
   /** Fetches the document after a while, if a newer one is known then. */
-  fetchAfter (ms: number): void
+  scheduleFetch (ms: number): void
   /** Answers another instance that holds a version. */
-  answer (version: number): messages.DiscoveryReply
+  toReply (version: number): messages.DiscoveryReply
 }
 
 /** A whole document of a megabyte is a tenth of that packed: 0.2 s on a link of 4 Mbit/s, the rest is for other traffic there. */
-const FETCH_MS = 1000
+const FETCH_TIMEOUT_MS = 1000
 /** An instance that has not answered for this long is asked no further; another one is asked beside it. */
-const HEDGE_MS = 300
+const HEDGE_DELAY_MS = 300
 /** Pause before the next instance is asked, after one that had nothing to give. */
-const TURN_MS = 60
+const RETRY_PAUSE_MS = 60
 
 /**
  * Creates a fetcher.
@@ -77,65 +77,65 @@
   const history = documentHistories.createDocumentHistory()
   const peerVersions = new Map<string, number>()
   /** Addresses that were asked and have not answered yet. */
-  const asked = new Set<string>()
-  let held: contracts.VersionedText | null = null
+  const pendingAddresses = new Set<string>()
+  let latest: contracts.VersionedText | null = null
   let isFetching = false
   let timer: NodeJS.Timeout | undefined
-  let heardOfNewerAt: number | undefined
+  let newerKnownAt: number | undefined
 
-  const version = (): number => held?.version ?? 0
+  const version = (): number => latest?.version ?? 0
 
   const toPeer = (address: string): DocumentSource => ({
     address,
     version: peerVersions.get(address) ?? 0,
-    link: async () => await opts.reachPeer(address),
+    getLink: async () => await opts.getPeerLink(address),
     onFailure (why) {
       peerVersions.delete(address)
       opts.log.event('documentNotFetched', { address, why })
     }
   })
 
-  const peers = (): DocumentSource[] => opts.peers().map(toPeer)
+  const peers = (): DocumentSource[] => opts.peerAddresses().map(toPeer)
 
-  const newest = (): number => Math.max(0, ...[...opts.controls(), ...peers()].map(item => item.version))
+  const newestVersion = (): number => Math.max(0, ...[...opts.controls(), ...peers()].map(item => item.version))
 
-  const take = (packed: contracts.PackedText | null): void => {
+  const accept = (packed: contracts.PackedText | null): void => {
     if (packed === null || packed.version <= version()) return
-    const document = contracts.unpackText(packed, held)
+    const document = contracts.unpackText(packed, latest)
     // The difference from a document that was replaced here while the answer was under way; the whole is fetched next.
     if (document === undefined) return
-    held = document
+    latest = document
     history.add(document, packed)
-    const waitedMs = heardOfNewerAt === undefined ? 0 : opts.now() - heardOfNewerAt
-    heardOfNewerAt = undefined
+    const waitedMs = newerKnownAt === undefined ? 0 : opts.now() - newerKnownAt
+    newerKnownAt = undefined
     opts.onDocument(document, waitedMs)
   }
 
-  const ask = async (link: links.Link): Promise<messages.DiscoveryReply> => {
+  const fetchOver = async (link: links.Link): Promise<messages.DiscoveryReply> => {
     const call: messages.DiscoveryCall = { t: 'fetch', version: version() }
-    const reply = messages.discoveryReply.parse(await link.call(call, FETCH_MS))
-    take(reply.document)
+    const reply = messages.discoveryReply.parse(await link.call(call, FETCH_TIMEOUT_MS))
+    accept(reply.document)
     return reply
   }
 
   const fetchFrom = async (source: DocumentSource): Promise<void> => {
     const before = version()
-    asked.add(source.address)
+    pendingAddresses.add(source.address)
     try {
-      const link = await source.link()
-      const reply = await ask(link).finally(() => { if (source.isForThis === true) link.close() })
+      const link = await source.getLink()
+      const reply = await fetchOver(link).finally(() => { if (source.isLinkTemporary === true) link.close() })
       // Guards against asking without end where the document that was announced is not handed out.
       if (source.version > before && version() === before && reply.isBusy !== true) source.onFailure('its document did not come')
     } catch (err) {
       source.onFailure(`its document could not be fetched: ${err instanceof Error ? err.message : String(err)}`)
     } finally {
-      asked.delete(source.address)
+      pendingAddresses.delete(source.address)
     }
   }
 
   /** Control instances and other entry instances by turns, those that hold a newer document before the others. */
   const pickSource = (turn: number): DocumentSource | undefined => {
-    const isFree = (item: DocumentSource): boolean => !asked.has(item.address)
+    const isFree = (item: DocumentSource): boolean => !pendingAddresses.has(item.address)
     const isAhead = (item: DocumentSource): boolean => isFree(item) && item.version > version()
     const controls = opts.controls()
     const others = peers()
@@ -144,15 +144,15 @@
     return turn % 2 === 0 ? control ?? peer : peer ?? control
   }
 
-  const fetch = async (): Promise<void> => {
+  const fetchUntilCurrent = async (): Promise<void> => {
     if (isFetching) return
     isFetching = true
     try {
-      for (let turn = 0; !opts.signal.aborted && newest() > version(); turn++) {
-        heardOfNewerAt ??= opts.now()
+      for (let turn = 0; !opts.signal.aborted && newestVersion() > version(); turn++) {
+        newerKnownAt ??= opts.now()
         const source = pickSource(turn)
-        if (source !== undefined) await Promise.race([fetchFrom(source), timers.setTimeout(HEDGE_MS, undefined, { ref: false })])
-        if (newest() > version()) await timers.setTimeout(TURN_MS, undefined, { ref: false })
+        if (source !== undefined) await Promise.race([fetchFrom(source), timers.setTimeout(HEDGE_DELAY_MS, undefined, { ref: false })])
+        if (newestVersion() > version()) await timers.setTimeout(RETRY_PAUSE_MS, undefined, { ref: false })
       }
     } finally {
       isFetching = false
@@ -161,24 +161,24 @@
 
   return {
     version,
-    newest,
-    take,
-    ask,
-    notePeer (address, said) {
+    newestVersion,
+    accept,
+    fetchOver,
+    notePeerVersion (address, said) {
       peerVersions.set(address, said)
     },
-    fetchAfter (ms) {
-      if (newest() <= version()) return
-      heardOfNewerAt ??= opts.now()
+    scheduleFetch (ms) {
+      if (newestVersion() <= version()) return
+      newerKnownAt ??= opts.now()
       if (ms === 0) {
-        void fetch()
+        void fetchUntilCurrent()
         return
       }
       timer ??= setTimeout(() => {
         timer = undefined
-        void fetch()
+        void fetchUntilCurrent()
       }, ms).unref()
     },
-    answer: since => ({ records: null, controls: [], version: version(), ...messages.handOut(history.since(since), opts.budget, opts.now()) })
+    toReply: since => ({ records: null, controls: [], version: version(), ...messages.toDocumentReply(history.packSince(since), opts.budget, opts.now()) })
   }
 }
--- a/packages/discovery/src/documentHistory.ts
+++ b/packages/discovery/src/documentHistory.ts
@@ -14,11 +14,11 @@
    * @param version what the reader holds, 0 for nothing
    * @returns the document, or null if the reader holds the latest or there is none
    */
-  since (version: number): contracts.PackedText | null
+  packSince (version: number): contracts.PackedText | null
 }
 
 /** Readers that are behind by more changes are sent the whole; at the size we design for these take 8 MB. */
-const KEPT = 8
+const MAX_VERSIONS = 8
 
 /**
  * Creates a history.
@@ -35,9 +35,9 @@
       const from = packed === undefined || packed.base === '' ? undefined : texts.find(item => item.digest === packed.base)
       if (from !== undefined && packed !== undefined) packedSince.set(from.version, packed)
       texts.push(held)
-      if (texts.length > KEPT) texts.shift()
+      if (texts.length > MAX_VERSIONS) texts.shift()
     },
-    since (version) {
+    packSince (version) {
       const latest = texts.at(-1)
       if (latest === undefined || latest.version <= version) return null
       const from = texts.find(item => item.version === version)
--- a/packages/discovery/src/handout.ts
+++ b/packages/discovery/src/handout.ts
@@ -20,10 +20,10 @@
 const NONCE_BYTES = 16
 const PROOF_BYTES = 32
 /** Longer than a whole document takes on a link of a few Mbit/s. */
-const FETCH_MS = 800
-const CONNECT_MS = 300
+const FETCH_TIMEOUT_MS = 800
+const CONNECT_TIMEOUT_MS = 300
 /** Larger than any document with all records. */
-const MOST_BYTES = 8 * 1024 * 1024
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 /**
  * Gives the address at which an instance hands out.
@@ -59,19 +59,19 @@
 }
 
 /** What a server of this is built from. */
-export interface HandoutOptions {
+export interface HandoutServerOptions {
   address: { host: string, port: number }
   /** What all instances of the fleet must know. */
   secret: string
   body: Buffer
   /** The most that is sent, bytes: what is left is turned away, as it would only fill the link that everybody needs next. */
-  mostBytes: number
+  maxTotalBytes: number
 }
 
 /** Hands out. */
 export interface HandoutServer {
   /** @returns whether somebody is being served, and when somebody came last */
-  state (): { isBusy: boolean, lastAt: number }
+  activity (): { isBusy: boolean, lastConnectionAt: number }
   /** Ends it and frees the port. */
   close (): void
 }
@@ -83,7 +83,7 @@
  * @param onError told if it cannot
  * @returns how to look after it
  */
-export function startHandout (opts: HandoutOptions, onListening: () => void, onError: (err: Error) => void): HandoutServer {
+export function startHandoutServer (opts: HandoutServerOptions, onListening: () => void, onError: (err: Error) => void): HandoutServer {
   const sockets = new Set<net.Socket>()
   let lastAt = performance.now()
   let sentBytes = 0
@@ -102,17 +102,17 @@
       if (seen.length < PROOF_BYTES) return
       socket.removeAllListeners('data')
       sentBytes += opts.body.length
-      if (sentBytes > opts.mostBytes || !isSame(seen, prove(opts.secret, 'takes', nonce, Buffer.alloc(0)))) {
+      if (sentBytes > opts.maxTotalBytes || !isEqual(seen, createProof(opts.secret, 'takes', nonce, Buffer.alloc(0)))) {
         socket.destroy()
         return
       }
-      socket.end(Buffer.concat([prove(opts.secret, 'gives', nonce, opts.body), opts.body]))
+      socket.end(Buffer.concat([createProof(opts.secret, 'gives', nonce, opts.body), opts.body]))
     })
   })
   server.on('error', onError)
   server.listen(opts.address, onListening)
   return {
-    state: () => ({ isBusy: sockets.size > 0, lastAt }),
+    activity: () => ({ isBusy: sockets.size > 0, lastConnectionAt: lastAt }),
     close () {
       server.close()
     }
@@ -132,8 +132,8 @@
     const chunks: Buffer[] = []
     let nonce: Buffer | undefined
     let bytes = 0
-    const timer = setTimeout(() => { fail(new Error('no answer in time')) }, FETCH_MS)
-    const connectTimer = setTimeout(() => { fail(new Error('no connection in time')) }, CONNECT_MS)
+    const timer = setTimeout(() => { fail(new Error('no answer in time')) }, FETCH_TIMEOUT_MS)
+    const connectTimer = setTimeout(() => { fail(new Error('no connection in time')) }, CONNECT_TIMEOUT_MS)
     const fail = (err: Error): void => {
       clearTimeout(timer)
       clearTimeout(connectTimer)
@@ -145,15 +145,15 @@
     socket.on('data', chunk => {
       chunks.push(chunk)
       bytes += chunk.length
-      if (bytes > MOST_BYTES) fail(new Error('more than any document'))
+      if (bytes > MAX_RESPONSE_BYTES) fail(new Error('more than any document'))
       if (nonce !== undefined || bytes < NONCE_BYTES) return
       nonce = Buffer.concat(chunks).subarray(0, NONCE_BYTES)
-      socket.write(prove(secret, 'takes', nonce, Buffer.alloc(0)))
+      socket.write(createProof(secret, 'takes', nonce, Buffer.alloc(0)))
     })
     socket.on('end', () => {
       const rest = Buffer.concat(chunks).subarray(NONCE_BYTES)
       const body = rest.subarray(PROOF_BYTES)
-      if (nonce === undefined || !isSame(rest.subarray(0, PROOF_BYTES), prove(secret, 'gives', nonce, body))) {
+      if (nonce === undefined || !isEqual(rest.subarray(0, PROOF_BYTES), createProof(secret, 'gives', nonce, body))) {
         fail(new Error('no proof of the fleet secret, or not all of it came'))
         return
       }
@@ -164,10 +164,10 @@
   })
 }
 
-function prove (secret: string, side: 'takes' | 'gives', nonce: Buffer, body: Buffer): Buffer {
+function createProof (secret: string, side: 'takes' | 'gives', nonce: Buffer, body: Buffer): Buffer {
   return crypto.createHmac('sha256', secret).update(side).update(nonce).update(body).digest()
 }
 
-function isSame (left: Buffer, right: Buffer): boolean {
+function isEqual (left: Buffer, right: Buffer): boolean {
   return left.length === right.length && crypto.timingSafeEqual(left, right)
 }
--- a/packages/discovery/src/handoutAsker.ts
+++ b/packages/discovery/src/handoutPoller.ts
@@ -3,7 +3,7 @@
 import * as messages from './messages.js'
 
 /** What an asker is built from. */
-export interface HandoutAskerOptions {
+export interface HandoutPollerOptions {
   /** Inner addresses of control instances as the settings name them now. */
   seeds: () => readonly string[]
   /** Asks a control instance that is still starting for what it hands out. */
@@ -14,14 +14,14 @@
 }
 
 /** One of the control instances may be down and silent; each further answer would only fill its sender's link. */
-const ASKED_AT_ONCE = 2
+const MAX_CONCURRENT_FETCHES = 2
 
 /**
  * Creates an asker.
  * @param opts whom to ask, and who takes the answer
  * @returns has those asked that are not being asked; to be called until there is a document
  */
-export function createHandoutAsker (opts: HandoutAskerOptions): () => void {
+export function createHandoutPoller (opts: HandoutPollerOptions): () => void {
   const asked = new Set<string>()
 
   const ask = async (address: string): Promise<void> => {
@@ -37,8 +37,8 @@
   }
 
   return () => {
-    for (const address of toRandomOrder(opts.seeds())) {
-      if (asked.size >= ASKED_AT_ONCE) return
+    for (const address of toShuffled(opts.seeds())) {
+      if (asked.size >= MAX_CONCURRENT_FETCHES) return
       if (asked.has(address)) continue
       asked.add(address)
       void ask(address)
@@ -51,7 +51,7 @@
  * @param addresses the addresses
  * @returns them in random order
  */
-export function toRandomOrder (addresses: readonly string[]): string[] {
+export function toShuffled (addresses: readonly string[]): string[] {
   return addresses.map(address => ({ address, order: Math.random() }))
     .sort((a, b) => a.order - b.order)
     .map(item => item.address)
--- a/packages/discovery/src/index.ts
+++ b/packages/discovery/src/index.ts
@@ -1,7 +1,7 @@
 /** Public face of discovery: records of endpoints and entry instances, and the subscription that spreads them. */
 export * from './documentHistory.js'
 export * from './handout.js'
-export { toRandomOrder } from './handoutAsker.js'
+export { toShuffled } from './handoutPoller.js'
 export * from './messages.js'
 export * from './publisher.js'
 export * from './records.js'
--- a/packages/discovery/src/messages.ts
+++ b/packages/discovery/src/messages.ts
@@ -47,18 +47,18 @@
     isCurrent: z.boolean(),
     /** Version of the document that the sender holds. */
     version: z.number(),
-    signs: z.array(records.sign),
+    signs: z.array(records.heartbeat),
     /** Addresses of the control instances. */
     controls: z.array(z.string())
   }),
   /** Signs of life that one control instance passes on to the others. */
-  z.object({ t: z.literal('signs'), signs: z.array(records.sign) })
+  z.object({ t: z.literal('signs'), signs: z.array(records.heartbeat) })
 ])
 /** Events, in either direction. */
 export type DiscoveryEvent = z.infer<typeof discoveryEvent>
 
 /** How often control instances pass on signs of life, and entry instances announce themselves, milliseconds. */
-export const TICK_MS = 1000
+export const TICK_INTERVAL_MS = 1000
 
 const codec = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
 
@@ -108,7 +108,7 @@
  * @param now the time on the steady clock
  * @returns the part of an answer that is about the document
  */
-export function handOut (document: contracts.PackedText | null, budget: sendBudgets.SendBudget, now: number): Pick<DiscoveryReply, 'document' | 'isBusy'> {
-  if (document === null || budget.take(document.body.length, now)) return { document, isBusy: false }
+export function toDocumentReply (document: contracts.PackedText | null, budget: sendBudgets.SendBudget, now: number): Pick<DiscoveryReply, 'document' | 'isBusy'> {
+  if (document === null || budget.tryReserve(document.body.length, now)) return { document, isBusy: false }
   return { document: null, isBusy: true }
 }
--- a/packages/discovery/src/publisher.ts
+++ b/packages/discovery/src/publisher.ts
@@ -17,13 +17,13 @@
   self: string
   table: recordTables.RecordTable
   /** Inner addresses of the other control instances. */
-  others: () => readonly string[]
+  peerAddresses: () => readonly string[]
   /** @returns a link to another control instance */
-  reach: (address: string) => Promise<links.Link>
+  getPeerLink: (address: string) => Promise<links.Link>
   /** Version of the document held here, 0 without one. */
   version: () => number
   /** @returns the document held here, packed for a reader who holds a version of it, or null if that is the latest */
-  documentSince: (version: number) => contracts.PackedText | null
+  packDocumentSince: (version: number) => contracts.PackedText | null
   /** How much of its link this instance may fill with documents; absent where that is not known. */
   budget?: sendBudgets.SendBudget
   /** Whether this instance heard from a quorum lately. */
@@ -39,7 +39,7 @@
   /**
    * Takes an announcement.
    * @param record what a process says of itself
-   * @returns once every reachable control instance has taken a change, or after {@link SPREAD_MS}
+   * @returns once every reachable control instance has taken a change, or after {@link REPLICATION_TIMEOUT_MS}
    */
   announce (record: records.Record): Promise<void>
   /** Answers a call of another instance. */
@@ -49,7 +49,7 @@
   /** Tells all subscribers that there is a new document; each fetches it from one control instance. */
   publishDocument (): void
   /** @returns what an instance that knows nothing is answered */
-  whole (): messages.DiscoveryReply
+  toFullReply (): messages.DiscoveryReply
   /** One step of the periodic work. */
   tick (): void
 }
@@ -58,16 +58,16 @@
  * How long an acknowledgement waits until the other control instances confirm a change. An endpoint that was told "yes, you
  * may leave" counts on getting no new work soon, so the news must be under way everywhere before it is told so.
  */
-export const SPREAD_MS = 400
+export const REPLICATION_TIMEOUT_MS = 400
 /** Changes that can wait are gathered for so long, milliseconds: a small part of the time for which callers keep addresses. */
-const GATHER_MS = 40
+const BATCH_DELAY_MS = 40
 /**
  * A document up to this size comes with the answer to a subscription: a fleet that lost power serves nobody before it. A larger
  * one is fetched from one control instance, since three times its size would fill their links.
  */
-const INLINE_BYTES = 12 * 1024
+const MAX_INLINE_BYTES = 12 * 1024
 /** Every so many ticks the whole table is compared with one other control instance: mends what lost links left out. */
-const COMPARE_TICKS = 3
+const COMPARE_INTERVAL_TICKS = 3
 
 /**
  * Creates a publisher.
@@ -79,8 +79,8 @@
   const budget = opts.budget ?? sendBudgets.createSendBudget(Infinity)
   const now = opts.now ?? (() => performance.now())
   const subscribers = new Set<links.Link>()
-  let ownSigns = new Map<string, records.Sign>()
-  let passedSigns = new Map<string, records.Sign>()
+  let ownSigns = new Map<string, records.Heartbeat>()
+  let passedSigns = new Map<string, records.Heartbeat>()
   /** Changes that another control instance has not confirmed yet, by its address. */
   const unconfirmed = new Map<string, Map<string, records.Record>>()
   /** Changes to be told together. */
@@ -99,22 +99,22 @@
     const pending = unconfirmed.get(address)
     if (pending === undefined || pending.size === 0) return
     const list = [...pending.values()]
-    const link = await opts.reach(address)
-    await link.call({ t: 'records', list } satisfies messages.DiscoveryCall, SPREAD_MS)
+    const link = await opts.getPeerLink(address)
+    await link.call({ t: 'records', list } satisfies messages.DiscoveryCall, REPLICATION_TIMEOUT_MS)
     for (const item of list) {
       if (pending.get(item.id) === item) pending.delete(item.id)
     }
   }
 
   const tellOthers = async (list: records.Record[]): Promise<void> => {
-    const calls = opts.others().map(async address => {
+    const calls = opts.peerAddresses().map(async address => {
       const pending = unconfirmed.get(address) ?? new Map<string, records.Record>()
       unconfirmed.set(address, pending)
       for (const item of list) pending.set(item.id, item)
       await tellOther(address)
     })
     // One that cannot be reached now is told with the next ticks.
-    await Promise.race([Promise.allSettled(calls), new Promise(resolve => { setTimeout(resolve, SPREAD_MS) })])
+    await Promise.race([Promise.allSettled(calls), new Promise(resolve => { setTimeout(resolve, REPLICATION_TIMEOUT_MS) })])
   }
 
   const flushNews = async (): Promise<void> => {
@@ -131,7 +131,7 @@
    * Has changes told, those that end work at once and others together. Load pattern: after a loss of power 65 entry instances
    * announce themselves within a second. Told one by one to all subscribers these are more events than a control instance with
    * a small share of a processor can write; gathered, they are one event for each of them.
-   * @returns once every reachable control instance has taken them, or after {@link SPREAD_MS}
+   * @returns once every reachable control instance has taken them, or after {@link REPLICATION_TIMEOUT_MS}
    */
   const queueNews = async (list: readonly records.Record[], isForOthers: boolean): Promise<void> => {
     if (list.length === 0) return
@@ -143,7 +143,7 @@
       await flushNews()
       return
     }
-    flushing ??= timers.setTimeout(GATHER_MS).then(flushNews)
+    flushing ??= timers.setTimeout(BATCH_DELAY_MS).then(flushNews)
     await flushing
   }
 
@@ -165,13 +165,13 @@
   }
 
   const compare = async (address: string): Promise<void> => {
-    const link = await opts.reach(address)
-    const reply = messages.discoveryReply.parse(await link.call({ t: 'compare', records: messages.packRecords(table.all()) } satisfies messages.DiscoveryCall, 2 * messages.TICK_MS))
+    const link = await opts.getPeerLink(address)
+    const reply = messages.discoveryReply.parse(await link.call({ t: 'compare', records: messages.packRecords(table.all()) } satisfies messages.DiscoveryCall, 2 * messages.TICK_INTERVAL_MS))
     if (reply.records !== null) await queueNews(take(messages.unpackRecords(reply.records)), false)
   }
 
   const reply = (hasRecords: boolean, document: contracts.PackedText | null): messages.DiscoveryReply => {
-    return { records: hasRecords ? messages.packRecords(table.all()) : null, controls: [opts.self, ...opts.others()], version: opts.version(), document }
+    return { records: hasRecords ? messages.packRecords(table.all()) : null, controls: [opts.self, ...opts.peerAddresses()], version: opts.version(), document }
   }
 
   return {
@@ -196,8 +196,8 @@
             noteChange(call.self)
             void queueNews([call.self], true)
           }
-          const document = opts.documentSince(call.version)
-          return reply(true, document !== null && document.body.length <= INLINE_BYTES ? document : null)
+          const document = opts.packDocumentSince(call.version)
+          return reply(true, document !== null && document.body.length <= MAX_INLINE_BYTES ? document : null)
         }
         case 'records':
           void queueNews(take(call.list), false)
@@ -206,7 +206,7 @@
           void queueNews(take(messages.unpackRecords(call.records)), false)
           return reply(true, null)
         case 'fetch':
-          return { ...reply(false, null), ...messages.handOut(opts.documentSince(call.version), budget, now()) }
+          return { ...reply(false, null), ...messages.toDocumentReply(opts.packDocumentSince(call.version), budget, now()) }
       }
     },
     onEvent (event) {
@@ -216,13 +216,13 @@
           break
         case 'signs':
           for (const sign of event.signs) {
-            if (table.hear(sign, now())) passedSigns.set(sign[0], sign)
+            if (table.applyHeartbeat(sign, now())) passedSigns.set(sign[0], sign)
           }
           break
         case 'tick':
           // An entry instance announces itself.
           for (const sign of event.signs) {
-            if (table.hear(sign, now())) ownSigns.set(sign[0], sign)
+            if (table.applyHeartbeat(sign, now())) ownSigns.set(sign[0], sign)
           }
           break
         case 'version': break
@@ -231,25 +231,25 @@
     publishDocument () {
       sendAll({ t: 'version', version: opts.version() })
     },
-    whole: () => reply(true, opts.documentSince(0)),
+    toFullReply: () => reply(true, opts.packDocumentSince(0)),
     tick () {
       ticks++
       const own = [...ownSigns.values()]
       const signs = [...own, ...passedSigns.values()]
       ownSigns = new Map()
       passedSigns = new Map()
-      const controls = [opts.self, ...opts.others()]
+      const controls = [opts.self, ...opts.peerAddresses()]
       sendAll({ t: 'tick', isCurrent: opts.isCurrent(), version: opts.version(), signs, controls })
       if (own.length > 0) {
         const encoded = links.encodeEvent({ t: 'signs', signs: own } satisfies messages.DiscoveryEvent)
-        for (const address of opts.others()) opts.reach(address).then(link => { link.sendEncoded(encoded) }, () => {})
+        for (const address of opts.peerAddresses()) opts.getPeerLink(address).then(link => { link.sendEncoded(encoded) }, () => {})
       }
-      const others = opts.others()
+      const others = opts.peerAddresses()
       for (const address of unconfirmed.keys()) {
         if (!others.includes(address)) unconfirmed.delete(address)
       }
       for (const address of others) tellOther(address).catch(() => {})
-      if (others.length > 0 && ticks % COMPARE_TICKS === 2) compare(others[Math.floor(Math.random() * others.length)]).catch(() => {})
+      if (others.length > 0 && ticks % COMPARE_INTERVAL_TICKS === 2) compare(others[Math.floor(Math.random() * others.length)]).catch(() => {})
       if (ticks % 30 === 0) table.prune(now())
     }
   }
--- a/packages/discovery/src/recordTable.ts
+++ b/packages/discovery/src/recordTable.ts
@@ -2,26 +2,26 @@
 import * as records from './records.js'
 
 /** What a merge did: the record says something new, only that its process lives, or is older than what is known. */
-export type Merged = 'changed' | 'refreshed' | 'stale'
+export type MergeResult = 'changed' | 'refreshed' | 'stale'
 
 /** A record with the last sign of life of its process. */
-export interface Known<T extends records.Record = records.Record> {
+export interface KnownRecord<T extends records.Record = records.Record> {
   record: T
   /** When the process was last heard of, on this process's steady clock. */
-  heardAt: number
+  lastSeenAt: number
   /** Number of the latest announcement that was heard of, which may be newer than the one the record is from. */
-  heardSeq: number
+  lastSeenSeq: number
 }
 
 /** The records that a process knows. */
 export interface RecordTable {
   /** Takes a record. */
-  merge (record: records.Record, now: number): Merged
+  merge (record: records.Record, now: number): MergeResult
   /** Takes a sign of life. @returns whether it was news */
-  hear (sign: records.Sign, now: number): boolean
-  get (id: string): Known | undefined
-  endpoints (): Array<Known<records.EndpointRecord>>
-  entries (): Array<Known<records.EntryRecord>>
+  applyHeartbeat (sign: records.Heartbeat, now: number): boolean
+  get (id: string): KnownRecord | undefined
+  endpoints (): Array<KnownRecord<records.EndpointRecord>>
+  entries (): Array<KnownRecord<records.EntryRecord>>
   /** @returns every record, also of processes that are gone */
   all (): records.Record[]
   /** Forgets records that were not heard of for long. */
@@ -29,19 +29,19 @@
 }
 
 /** Records of processes that are gone or silent are kept this long, so that late announcements are known to be late. */
-const KEEP_MS = 120_000
+const RETENTION_MS = 120_000
 
 /**
  * Creates an empty table.
  * @returns the table
  */
 export function createRecordTable (): RecordTable {
-  const known = new Map<string, Known>()
+  const known = new Map<string, KnownRecord>()
 
-  const merge = (record: records.Record, now: number): Merged => {
+  const merge = (record: records.Record, now: number): MergeResult => {
     const held = known.get(record.id)
     if (held === undefined) {
-      known.set(record.id, { record, heardAt: now, heardSeq: record.seq })
+      known.set(record.id, { record, lastSeenAt: now, lastSeenSeq: record.seq })
       return 'changed'
     }
     if (record.startedAt < held.record.startedAt) return 'stale'
@@ -54,29 +54,29 @@
     if (isSameStart && !isFurther && record.seq <= held.record.seq) return 'stale'
     const isSame = isSameStart && isSameContent(record, held.record)
     held.record = record
-    held.heardAt = now
-    held.heardSeq = isSameStart ? Math.max(held.heardSeq, record.seq) : record.seq
+    held.lastSeenAt = now
+    held.lastSeenSeq = isSameStart ? Math.max(held.lastSeenSeq, record.seq) : record.seq
     return isSame ? 'refreshed' : 'changed'
   }
 
   return {
     merge,
-    hear ([id, startedAt, seq], now) {
+    applyHeartbeat ([id, startedAt, seq], now) {
       const held = known.get(id)
-      if (held === undefined || held.record.startedAt !== startedAt || seq <= held.heardSeq) return false
+      if (held === undefined || held.record.startedAt !== startedAt || seq <= held.lastSeenSeq) return false
       // Guards against an endpoint that stays "ready" for good: a sign tells that an announcement was made, not what it said.
       // Were the record taken for as new as the sign, the announcement that says "leaving" would be held to be an old one.
-      held.heardSeq = seq
-      held.heardAt = now
+      held.lastSeenSeq = seq
+      held.lastSeenAt = now
       return true
     },
     get: id => known.get(id),
-    endpoints: () => [...known.values()].filter((item): item is Known<records.EndpointRecord> => item.record.kind === 'endpoint'),
-    entries: () => [...known.values()].filter((item): item is Known<records.EntryRecord> => item.record.kind === 'entry'),
+    endpoints: () => [...known.values()].filter((item): item is KnownRecord<records.EndpointRecord> => item.record.kind === 'endpoint'),
+    entries: () => [...known.values()].filter((item): item is KnownRecord<records.EntryRecord> => item.record.kind === 'entry'),
     all: () => [...known.values()].map(item => item.record),
     prune (now) {
       for (const [id, item] of known) {
-        if (now - item.heardAt > KEEP_MS) known.delete(id)
+        if (now - item.lastSeenAt > RETENTION_MS) known.delete(id)
       }
     }
   }
--- a/packages/discovery/src/records.ts
+++ b/packages/discovery/src/records.ts
@@ -50,6 +50,6 @@
 export type Record = z.infer<typeof record>
 
 /** A sign of life: the announcement with this number was heard. */
-export const sign = z.tuple([z.string(), z.number(), z.number()])
+export const heartbeat = z.tuple([z.string(), z.number(), z.number()])
 /** A sign of life: id, start and number of the announcement that was heard. */
-export type Sign = z.infer<typeof sign>
+export type Heartbeat = z.infer<typeof heartbeat>
--- a/packages/discovery/src/sendBudget.ts
+++ b/packages/discovery/src/sendBudget.ts
@@ -9,11 +9,11 @@
 /** The bytes that may be sent. */
 export interface SendBudget {
   /** Takes a send. @returns whether it may be made now */
-  take (bytes: number, now: number): boolean
+  tryReserve (bytes: number, now: number): boolean
 }
 
 /** A send is begun while what was sent before it keeps the link busy for no longer than this, milliseconds. */
-const QUEUE_MS = 150
+const MAX_QUEUE_MS = 150
 
 /**
  * Creates a budget.
@@ -23,9 +23,9 @@
 export function createSendBudget (bytesPerMs: number): SendBudget {
   let freeAt = -Infinity
   return {
-    take (bytes, now) {
+    tryReserve (bytes, now) {
       const beginsAt = Math.max(now, freeAt)
-      if (beginsAt - now > QUEUE_MS) return false
+      if (beginsAt - now > MAX_QUEUE_MS) return false
       freeAt = beginsAt + bytes / bytesPerMs
       return true
     }
--- a/packages/discovery/src/subscriber.ts
+++ b/packages/discovery/src/subscriber.ts
@@ -7,7 +7,7 @@
 import * as links from '@kingcupdeck/links'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as documentFetchers from './documentFetcher.js'
-import * as handoutAskers from './handoutAsker.js'
+import * as handoutPollers from './handoutPoller.js'
 import * as messages from './messages.js'
 import * as recordTables from './recordTable.js'
 import * as records from './records.js'
@@ -21,15 +21,15 @@
   /** @returns a new link to a control instance, which calls {@link Subscriber.onEvent} */
   dial: (address: string) => Promise<links.Link>
   /** Asks a control instance that is still starting for what it hands out; absent where none does so. */
-  handout?: (address: string) => Promise<Uint8Array>
+  fetchHandout?: (address: string) => Promise<Uint8Array>
   /** What this instance says of itself. */
   self: () => records.EntryRecord
   /** Takes a newer document, with the time since it was first heard of, milliseconds. */
   onDocument: (document: contracts.VersionedText, waitedMs: number) => void
   /** Inner addresses of the other entry instances, in random order; absent where there are none. */
-  peers?: () => readonly string[]
+  peerAddresses?: () => readonly string[]
   /** @returns a link to another entry instance */
-  reachPeer?: (address: string) => Promise<links.Link>
+  getPeerLink?: (address: string) => Promise<links.Link>
   /** How much of its link this instance may fill with documents for others; absent where that is not known. */
   budget?: sendBudgets.SendBudget
   /** Told when records changed. */
@@ -45,21 +45,21 @@
   /** Answers a call of another entry instance. */
   onCall (call: messages.DiscoveryCall): messages.DiscoveryReply
   /** Notes the version of the document that another entry instance holds. */
-  notePeer (address: string, version: number): void
+  notePeerVersion (address: string, version: number): void
   /** @returns the version of the document that is held here, 0 without one */
   version (): number
   /** @returns the newest version that any instance said it holds */
-  newest (): number
+  newestVersion (): number
   /** @returns whether the document that is held here is known to be the latest: what it lacks is not to be had anywhere */
-  isLatest (): boolean
+  isDocumentLatest (): boolean
   /** Announces a change of this instance to all control instances it is subscribed to. */
   announce (): void
   /** @returns when a control instance that has a quorum was last heard */
-  currentAt (): number
-  /** @returns since when such a control instance has been heard without a gap, or was until {@link Subscriber.currentAt} */
-  currentSince (): number
+  lastQuorumAt (): number
+  /** @returns since when such a control instance has been heard without a gap, or was until {@link Subscriber.lastQuorumAt} */
+  quorumSince (): number
   /** @returns how many control instances tell this instance news */
-  subscriptions (): number
+  subscriptionCount (): number
   /** Ends all subscriptions. */
   stop (): void
 }
@@ -70,9 +70,9 @@
  */
 const SUBSCRIPTIONS = 3
 /** A control instance that sends no tick for this long is given up. */
-const SILENT_MS = 2.3 * messages.TICK_MS
+const SILENT_MS = 2.3 * messages.TICK_INTERVAL_MS
 /** A control instance without a quorum for this long is exchanged for another one, if there is one. */
-const NOT_CURRENT_MS = 1.5 * messages.TICK_MS
+const NOT_CURRENT_MS = 1.5 * messages.TICK_INTERVAL_MS
 /** Without a tick for this long there was a gap in the news. */
 const GAP_MS = SILENT_MS
 /** How long an address that failed is left alone: short at first, since a process that was killed is back soon, ... */
@@ -130,7 +130,7 @@
     sub.version = Math.max(sub.version, said)
     if (sub.version <= documents.version()) return
     const isMain = [...open][0] === sub
-    documents.fetchAfter(isMain || documents.version() === 0 ? 0 : SPARE_MS)
+    documents.scheduleFetch(isMain || documents.version() === 0 ? 0 : SPARE_MS)
   }
 
   /**
@@ -143,21 +143,21 @@
     return [{
       address,
       version: Math.max(0, ...[...open].map(sub => sub.version)),
-      link: async () => await opts.dial(address),
-      isForThis: true,
+      getLink: async () => await opts.dial(address),
+      isLinkTemporary: true,
       onFailure (why) { opts.log.event('documentNotFetched', { address, why }) }
     }]
   }
 
   const toSource = (sub: Subscription): documentFetchers.DocumentSource[] => {
     const { address, version, link } = sub
-    return link === undefined ? [] : [{ address, version, link: async () => link, onFailure: why => { drop(sub, why) } }]
+    return link === undefined ? [] : [{ address, version, getLink: async () => link, onFailure: why => { drop(sub, why) } }]
   }
 
   const documents = documentFetchers.createDocumentFetcher({
     controls: () => [...toFirstSource(), ...[...open].flatMap(toSource)],
-    peers: opts.peers ?? (() => []),
-    reachPeer: opts.reachPeer ?? (async address => { throw new Error(`${address} is not reached from here`) }),
+    peerAddresses: opts.peerAddresses ?? (() => []),
+    getPeerLink: opts.getPeerLink ?? (async address => { throw new Error(`${address} is not reached from here`) }),
     onDocument: opts.onDocument,
     budget: opts.budget ?? sendBudgets.createSendBudget(Infinity),
     signal: stopped.signal,
@@ -193,7 +193,7 @@
       opts.log.event('controlFound', { address, subscriptions: open.size })
       if (reply.records !== null) takeRecords(messages.unpackRecords(reply.records))
       controls = reply.controls
-      documents.take(reply.document)
+      documents.accept(reply.document)
       noteVersion(sub, reply.version)
       void link.closed.then(why => { drop(sub, why) })
     } catch (err) {
@@ -205,7 +205,7 @@
   const candidates = (): string[] => {
     const used = new Set([...open].map(sub => sub.address))
     const all = new Set([...controls, ...opts.seeds()])
-    return handoutAskers.toRandomOrder([...all].filter(address => !used.has(address) && (avoidUntil.get(address) ?? 0) <= now()))
+    return handoutPollers.toShuffled([...all].filter(address => !used.has(address) && (avoidUntil.get(address) ?? 0) <= now()))
   }
 
   const look = (): void => {
@@ -219,17 +219,17 @@
     for (const address of free.slice(0, Math.max(0, SUBSCRIPTIONS - open.size))) void subscribe(address)
   }
 
-  const askHandouts = opts.handout === undefined
+  const askHandouts = opts.fetchHandout === undefined
     ? () => {}
-    : handoutAskers.createHandoutAsker({
+    : handoutPollers.createHandoutPoller({
       seeds: opts.seeds,
-      fetch: opts.handout,
+      fetch: opts.fetchHandout,
       onReply (reply, address) {
         if (documents.version() > 0) return
         opts.log.event('handoutTaken', { address, version: reply.version })
         if (reply.records !== null) takeRecords(messages.unpackRecords(reply.records))
         if (controls.length === 0) controls = reply.controls
-        documents.take(reply.document)
+        documents.accept(reply.document)
       },
       log: opts.log
     })
@@ -239,7 +239,7 @@
     while (!stopped.signal.aborted) {
       look()
       if (documents.version() === 0) askHandouts()
-      if (now() - lastSignAt >= messages.TICK_MS) {
+      if (now() - lastSignAt >= messages.TICK_INTERVAL_MS) {
         lastSignAt = now()
         const self = opts.self()
         const event: messages.DiscoveryEvent = { t: 'tick', isCurrent: true, version: documents.version(), signs: [[self.id, self.startedAt, self.seq]], controls: [] }
@@ -266,7 +266,7 @@
             failures.delete(sub.address)
           }
           controls = event.controls
-          for (const sign of event.signs) opts.table.hear(sign, now())
+          for (const sign of event.signs) opts.table.applyHeartbeat(sign, now())
           // Guards against a document that was announced before this subscription, or whose announcement came while no link
           // was up to fetch it.
           noteVersion(sub, event.version)
@@ -276,22 +276,22 @@
     },
     onCall (call) {
       if (call.t !== 'fetch') throw new Error(`an entry instance answers no call "${call.t}"`)
-      return documents.answer(call.version)
+      return documents.toReply(call.version)
     },
-    notePeer (address, version) {
-      documents.notePeer(address, version)
-      if (version > documents.version()) documents.fetchAfter(SPARE_MS)
+    notePeerVersion (address, version) {
+      documents.notePeerVersion(address, version)
+      if (version > documents.version()) documents.scheduleFetch(SPARE_MS)
     },
     version: documents.version,
-    newest: documents.newest,
-    isLatest: () => documents.version() > 0 && documents.newest() <= documents.version() && now() - currentAt <= GAP_MS,
+    newestVersion: documents.newestVersion,
+    isDocumentLatest: () => documents.version() > 0 && documents.newestVersion() <= documents.version() && now() - currentAt <= GAP_MS,
     announce () {
       const event: messages.DiscoveryEvent = { t: 'news', list: [opts.self()] }
       for (const sub of open) sub.link?.send(event)
     },
-    currentAt: () => currentAt,
-    currentSince: () => currentSince,
-    subscriptions: () => open.size,
+    lastQuorumAt: () => currentAt,
+    quorumSince: () => currentSince,
+    subscriptionCount: () => open.size,
     stop () {
       stopped.abort()
       for (const sub of open) sub.link?.close()
--- a/packages/forwarding/__tests__/helpers/testFleet.ts
+++ b/packages/forwarding/__tests__/helpers/testFleet.ts
@@ -42,10 +42,10 @@
   const publisher = discovery.createPublisher({
     self: inner,
     table: discovery.createRecordTable(),
-    others: () => [],
-    reach: async () => { throw new Error('there are no others') },
+    peerAddresses: () => [],
+    getPeerLink: async () => { throw new Error('there are no others') },
     version: () => held?.version ?? 0,
-    documentSince: version => held === undefined || held.version <= version ? null : contracts.packFull(held),
+    packDocumentSince: version => held === undefined || held.version <= version ? null : contracts.packFull(held),
     isCurrent: () => true,
     log
   })
--- a/packages/forwarding/src/endpointPool.ts
+++ b/packages/forwarding/src/endpointPool.ts
@@ -123,13 +123,13 @@
 
   const isMisdirected = (endpoint: Endpoint): boolean => {
     if (endpoint.misdirectedSeq === undefined) return false
-    return (opts.table.get(endpoint.id)?.heardSeq ?? 0) <= endpoint.misdirectedSeq
+    return (opts.table.get(endpoint.id)?.lastSeenSeq ?? 0) <= endpoint.misdirectedSeq
   }
 
   const isSilent = (endpoint: Endpoint): boolean => {
     // Guards against an instance that refuses everything when control instances are back after a while: it has heard of no
     // endpoint for as long, and will only with their next announcements. Silence counts from when there is news again.
-    const heardAt = Math.max(opts.table.get(endpoint.id)?.heardAt ?? -Infinity, opts.currentSince())
+    const heardAt = Math.max(opts.table.get(endpoint.id)?.lastSeenAt ?? -Infinity, opts.currentSince())
     return opts.currentAt() - heardAt > opts.silentMs
   }
 
@@ -164,7 +164,7 @@
       endpoint.avoidUntil = 0
     },
     noteMisdirected (endpoint) {
-      endpoint.misdirectedSeq = opts.table.get(endpoint.id)?.heardSeq ?? endpoint.record.seq
+      endpoint.misdirectedSeq = opts.table.get(endpoint.id)?.lastSeenSeq ?? endpoint.record.seq
       retire(endpoint)
       opts.log.event('endpointGone', { endpoint: endpoint.id, why: 'another process has its address', seq: endpoint.misdirectedSeq })
     },
--- a/packages/forwarding/src/entryInstance.ts
+++ b/packages/forwarding/src/entryInstance.ts
@@ -153,17 +153,17 @@
 
   const endpoints = endpointPools.createEndpointPool({
     table,
-    currentAt: () => subscriber.currentAt(),
-    currentSince: () => subscriber.currentSince(),
+    currentAt: () => subscriber.lastQuorumAt(),
+    currentSince: () => subscriber.quorumSince(),
     silentMs: SILENT_ANNOUNCEMENTS * opts.announceMs + SILENT_MARGIN_MS,
     log
   })
 
   const otherEntries = (): discovery.EntryRecord[] => table.entries()
-    .filter(item => item.record.id !== opts.id && item.record.state !== 'gone' && isHeard(item.heardAt))
+    .filter(item => item.record.id !== opts.id && item.record.state !== 'gone' && isHeard(item.lastSeenAt))
     .map(item => item.record)
 
-  const exchange = peerExchanges.startPeerExchange({ others: otherEntries, reach: peers.get, pool: endpoints, suspects, outcomes, version: () => subscriber.version(), onVersion: (address, version) => { subscriber.notePeer(address, version) } })
+  const exchange = peerExchanges.startPeerExchange({ others: otherEntries, reach: peers.get, pool: endpoints, suspects, outcomes, version: () => subscriber.version(), onVersion: (address, version) => { subscriber.notePeerVersion(address, version) } })
 
   const ctx: entryContexts.EntryContext = {
     names: opts.names,
@@ -175,8 +175,8 @@
     metrics,
     log,
     table: () => document,
-    isLatestDocument: () => subscriber.isLatest(),
-    newestDocument: () => subscriber.newest(),
+    isLatestDocument: () => subscriber.isDocumentLatest(),
+    newestDocument: () => subscriber.newestVersion(),
     nextDocument,
     retryWindow (service) {
       const known = retryOf.get(service)
@@ -196,20 +196,20 @@
     seeds: opts.seeds,
     table,
     dial: async address => await links.withTimeout(links.dial(address, linkSettings), DIAL_MS, `no connection to ${address}`),
-    handout: opts.takesHandouts ? async address => await discovery.fetchHandout(discovery.toHandoutAddress(address), opts.secret) : undefined,
+    fetchHandout: opts.takesHandouts ? async address => await discovery.fetchHandout(discovery.toHandoutAddress(address), opts.secret) : undefined,
     self,
     onDocument: takeDocument,
     onRecords: list => { endpoints.update(list) },
-    peers: () => discovery.toRandomOrder(otherEntries().map(item => item.inner)),
-    reachPeer: peers.get,
+    peerAddresses: () => discovery.toShuffled(otherEntries().map(item => item.inner)),
+    getPeerLink: peers.get,
     budget: discovery.createSendBudget(opts.linkBytesPerMs ?? Infinity),
     log
   })
   const pruner = setInterval(() => {
     // Without news nobody is forgotten: an instance that is cut off from all control instances serves on.
-    table.prune(subscriber.currentAt())
+    table.prune(subscriber.lastQuorumAt())
     endpoints.prune()
-    metrics.subscriptions.set(subscriber.subscriptions())
+    metrics.subscriptions.set(subscriber.subscriptionCount())
   }, 10_000)
 
   return {
@@ -218,7 +218,7 @@
     addresses (zone) {
       const isSelfReady = stopBeganAt === undefined && document !== undefined
       const ready = table.entries()
-        .filter(item => item.record.id === opts.id ? isSelfReady : item.record.state === 'ready' && isHeard(item.heardAt))
+        .filter(item => item.record.id === opts.id ? isSelfReady : item.record.state === 'ready' && isHeard(item.lastSeenAt))
         .map(item => item.record)
       const reachable = ready.filter(item => now() - peers.lastFailureAt(item.inner) > PEER_FAILED_MS)
       const pool = reachable.length > 0 ? reachable : ready
@@ -251,6 +251,6 @@
 
   /** Silence counts only up to when a control instance with a quorum was last heard: without news nobody is known to be gone. */
   function isHeard (heardAt: number): boolean {
-    return subscriber.currentAt() - Math.max(heardAt, subscriber.currentSince()) < ENTRY_SILENT_MS
+    return subscriber.lastQuorumAt() - Math.max(heardAt, subscriber.quorumSince()) < ENTRY_SILENT_MS
   }
 }
