--- a/packages/kingcupdeck/src/daemons.ts
+++ b/packages/kingcupdeck/src/daemons.ts
@@ -31,7 +31,7 @@
     ledgerGroups: values['ledger-groups'],
     maxBodyBytes: values['max-body-bytes'],
     policy: values.policy,
-    isImporting: values['kv-import'],
+    isKvImportEnabled: values['kv-import'],
     log,
     isFatal: values['fatal-invariants']
   })
--- a/packages/router/src/answer.ts
+++ b/packages/router/src/answer.ts
@@ -12,11 +12,11 @@
 }
 
 /** The answer to a chat as it grows. */
-export interface GrowingAnswer {
+export interface PartialAnswer {
   /** Number of the next event that is due. */
-  due (): number
+  nextEventIndex (): number
   /** Takes an event. @returns `gap` where an earlier one is missing, `old` where it was here before */
-  take (n: number, data: string): 'taken' | 'old' | 'gap'
+  append (n: number, data: string): 'taken' | 'old' | 'gap'
   /** @returns the text so far, for an engine that goes on from it */
   text (): string
 }
@@ -34,11 +34,11 @@
  * @param writer where events go in their order
  * @returns the answer
  */
-export function createGrowingAnswer (writer: AnswerWriter): GrowingAnswer {
+export function createPartialAnswer (writer: AnswerWriter): PartialAnswer {
   const events: string[] = []
   return {
-    due: () => events.length,
-    take (n, data) {
+    nextEventIndex: () => events.length,
+    append (n, data) {
       if (n < events.length) return 'old'
       if (n > events.length) return 'gap'
       events.push(data)
@@ -82,7 +82,7 @@
  * @param headers further headers
  * @returns the writer
  */
-export function createWholeWriter (exchange: helpers.Exchange, headers: () => http.OutgoingHttpHeaders): AnswerWriter {
+export function createJsonWriter (exchange: helpers.Exchange, headers: () => http.OutgoingHttpHeaders): AnswerWriter {
   const events: string[] = []
   return {
     write (data) { events.push(data) },
--- a/packages/router/src/attempts.ts
+++ b/packages/router/src/attempts.ts
@@ -9,7 +9,7 @@
 export type AttemptEvent = contracts.PeerEvent | { t: 'linkLost' } | { t: 'callerGone' }
 
 /** Where an owner sends the events of an attempt. */
-export interface Sink {
+export interface EventSink {
   send (event: contracts.PeerEvent): void
   isOpen (): boolean
   /** @returns when a slow reader has caught up */
@@ -24,7 +24,7 @@
   /** Puts the news that the caller went away behind the events that came so far. */
   interrupt (): void
   /** Stops listening. */
-  end (): void
+  close (): void
 }
 
 /** The attempts of an entry instance. */
@@ -32,9 +32,9 @@
   /** Hands a request to its owner. */
   start (owner: contracts.Instance, msg: contracts.Dispatch): Promise<Attempt>
   /** Takes an event that a peer sent. */
-  take (event: contracts.PeerEvent): void
+  deliver (event: contracts.PeerEvent): void
   /** Tells an owner where a chat ran. */
-  notePlace (owner: contracts.Instance, event: Extract<contracts.PeerEvent, { t: 'placed' }>): void
+  recordChatLocation (owner: contracts.Instance, event: Extract<contracts.PeerEvent, { t: 'placed' }>): void
   /**
    * Asks an owner to drop an attempt.
    * @returns whether it may have reached an endpoint: `unknown` where the owner does not answer
@@ -47,9 +47,9 @@
   selfId: string
   peers: links.PeerLinks
   /** The owner role of this same instance. */
-  dispatchHere (msg: contracts.Dispatch, sink: Sink): void
-  cancelHere (attempt: string): { reached: boolean }
-  notePlaceHere (chat: string, home: string, endpoint: string): void
+  dispatchLocally (msg: contracts.Dispatch, sink: EventSink): void
+  cancelLocally (attempt: string): { reached: boolean }
+  recordChatLocationLocally (chat: string, home: string, endpoint: string): void
 }
 
 const CANCEL_MS = 1500
@@ -63,7 +63,7 @@
   const open = new Map<string, Mailbox>()
 
   const startHere = (msg: contracts.Dispatch, mailbox: Mailbox): void => {
-    opts.dispatchHere(msg, {
+    opts.dispatchLocally(msg, {
       send: event => { if (open.get(msg.attempt) === mailbox) mailbox.put(event) },
       isOpen: () => open.get(msg.attempt) === mailbox,
       drained: async () => {}
@@ -96,17 +96,17 @@
           mailbox.put({ t: 'declined', attempt: msg.attempt, reason: 'not_owner', load: 0, retryAfterMs: 0 })
         }
       }
-      return { id: msg.attempt, next: mailbox.take, interrupt: () => { mailbox.put({ t: 'callerGone' }) }, end }
+      return { id: msg.attempt, next: mailbox.take, interrupt: () => { mailbox.put({ t: 'callerGone' }) }, close: end }
     },
-    take (event) {
+    deliver (event) {
       if ('attempt' in event && event.t !== 'dispatch') open.get(event.attempt)?.put(event)
     },
-    notePlace (owner, event) {
-      if (owner.id === opts.selfId) opts.notePlaceHere(event.chat, event.home, event.endpoint)
+    recordChatLocation (owner, event) {
+      if (owner.id === opts.selfId) opts.recordChatLocationLocally(event.chat, event.home, event.endpoint)
       else opts.peers.peek(owner.id)?.send(event)
     },
     async cancel (owner, attempt) {
-      if (owner.id === opts.selfId) return opts.cancelHere(attempt).reached ? 'unknown' : 'no'
+      if (owner.id === opts.selfId) return opts.cancelLocally(attempt).reached ? 'unknown' : 'no'
       try {
         const link = await opts.peers.get(owner.id, owner.peer)
         const reply = contracts.peerReply.parse(await link.call({ t: 'cancel', attempt } satisfies contracts.PeerCall, CANCEL_MS))
--- a/packages/router/src/auth.ts
+++ b/packages/router/src/auth.ts
@@ -9,11 +9,11 @@
 /** The index. */
 export interface Auth {
   /** @throws FailureError `unauthenticated` */
-  toAccount (req: http.IncomingMessage): Account
+  authenticateAccount (req: http.IncomingMessage): Account
   /** @throws FailureError `unauthenticated` */
-  toOperator (req: http.IncomingMessage): string
+  authenticateOperator (req: http.IncomingMessage): string
   /** @throws FailureError when the token is not one of the service's endpoints */
-  checkEndpoint (req: http.IncomingMessage, service: string): void
+  authenticateEndpoint (req: http.IncomingMessage, service: string): void
 }
 
 /**
@@ -41,19 +41,19 @@
   }
 
   return {
-    toAccount (req) {
+    authenticateAccount (req) {
       refresh()
       const account = accounts.get(toDigest(req))
       if (account === undefined) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The token is not that of a client account' })
       return account
     },
-    toOperator (req) {
+    authenticateOperator (req) {
       refresh()
       const operator = operators.get(toDigest(req))
       if (operator === undefined) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The token is not that of an operator' })
       return operator
     },
-    checkEndpoint (req, service) {
+    authenticateEndpoint (req, service) {
       refresh()
       const spec = indexed?.services[service]
       if (spec === undefined) throw new contracts.FailureError({ kind: 'unknown_service', service })
--- a/packages/router/src/cacheFinder.ts
+++ b/packages/router/src/cacheFinder.ts
@@ -4,7 +4,7 @@
 import * as routing from '@kingcupdeck/routing'
 
 /** A chat that looks for its cache. */
-export interface CacheQuestion {
+export interface CacheQuery {
   service: string
   /** What keeps the chat together. */
   key: string
@@ -19,7 +19,7 @@
 /** Finds caches. */
 export interface CacheFinder {
   /** @returns the endpoint that likely holds the chat's cache, if that is not the one that is asked */
-  find (question: CacheQuestion, asked: string): string | undefined
+  find (question: CacheQuery, asked: string): string | undefined
 }
 
 /** An engine counts as a newcomer, whose chats still have their cache elsewhere, for this long, milliseconds. */
--- a/packages/router/src/chatEntry.ts
+++ b/packages/router/src/chatEntry.ts
@@ -6,7 +6,7 @@
 import type * as context from './entryContext.js'
 import * as helpers from './http.js'
 import * as ids from './ids.js'
-import * as placing from './placing.js'
+import * as placement from './placement.js'
 
 /** After this many attempts a request ends in an error, whatever the retry budget says. */
 const MAX_ATTEMPTS = 5
@@ -21,10 +21,10 @@
 export async function serveChat (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account): Promise<void> {
   const body = await helpers.readBody(exchange.req, ctx.maxBodyBytes)
   const chat = chatRequest.parseChat(helpers.parseJson(body))
-  const doc = ctx.needDocument()
+  const doc = ctx.requireDocument()
   const model = doc.models[chat.model]
   if (model === undefined || !account.spec.services.includes(model.service)) throw new contracts.FailureError({ kind: 'unknown_model', model: chat.model })
-  ctx.checkLimit(account)
+  ctx.enforceRateLimit(account)
   const run = createRun(ctx, exchange, account, chat, model.service, body)
   await followToEnd(ctx, run)
 }
@@ -34,9 +34,9 @@
   account: auths.Account
   priority: string
   startedAt: number
-  answer: answers.GrowingAnswer
+  answer: answers.PartialAnswer
   writer: answers.AnswerWriter
-  request: placing.PlacingRequest
+  request: placement.PlacementRequest
   /** Whether an endpoint may have begun it. */
   isReached: boolean
   /** The endpoint that serves it now, for the header of the answer. */
@@ -49,9 +49,9 @@
   const chatKey = chatRequest.toChatKey(exchange, account.id, chat)
   const served = { engine: '' }
   const writer = timeTokens(ctx, account.id, priority, startedAt, createWriter(exchange, chat, served))
-  const answer = answers.createGrowingAnswer(writer)
+  const answer = answers.createPartialAnswer(writer)
   const excluded = new Set<string>()
-  const request: placing.PlacingRequest = {
+  const request: placement.PlacementRequest = {
     requestId: exchange.requestId,
     service,
     key: chatKey,
@@ -62,9 +62,9 @@
     toBody: () => chatRequest.toEngineBody(chat, answer),
     patienceUntil: startedAt + patienceMs,
     model: chat.model,
-    toWork: importFrom => ({ kind: 'chat', model: chat.model, chat: chatKey, importFrom, avoid: excluded.size > 0 ? [...excluded] : undefined, resumeFrom: answer.due() }),
-    isRepeatable: true,
-    isReturning: chatRequest.isReturning(chat),
+    toWork: importFrom => ({ kind: 'chat', model: chat.model, chat: chatKey, importFrom, avoid: excluded.size > 0 ? [...excluded] : undefined, resumeFrom: answer.nextEventIndex() }),
+    isIdempotent: true,
+    isMultiTurn: chatRequest.isMultiTurn(chat),
     excluded,
     isSuspect: false,
     trace: ctx.traces.open(exchange.requestId),
@@ -75,7 +75,7 @@
 
 function createWriter (exchange: helpers.Exchange, chat: contracts.ChatRequest, served: { engine: string }): answers.AnswerWriter {
   const headers = (): Record<string, string> => ({ [contracts.HEADERS.engine]: served.engine })
-  if (chat.stream !== true) return answers.createWholeWriter(exchange, headers)
+  if (chat.stream !== true) return answers.createJsonWriter(exchange, headers)
   return answers.createStreamWriter(exchange, chat.stream_options?.include_usage === true, headers)
 }
 
@@ -102,18 +102,18 @@
   let placed = await placeOrThrow(ctx, run)
   for (let attemptNo = 1; ; attemptNo++) {
     run.served.engine = placed.endpoint
-    ctx.placer.countOwn(placed.endpoint, 1)
+    ctx.placer.adjustInFlight(placed.endpoint, 1)
     const { attempt } = placed
     request.signal.addEventListener('abort', attempt.interrupt)
     if (request.signal.aborted) attempt.interrupt()
     const end = await follow(ctx, run, placed).finally(() => {
       request.signal.removeEventListener('abort', attempt.interrupt)
-      attempt.end()
-      ctx.placer.countOwn(placed.endpoint, -1)
+      attempt.close()
+      ctx.placer.adjustInFlight(placed.endpoint, -1)
     })
     if (end.kind === 'whole') return
     if (end.kind === 'failed') throw new contracts.FailureError(end.failure)
-    request.trace.note('broke', `${placed.endpoint} by ${placed.owner.id}: ${end.why}`)
+    request.trace.record('broke', `${placed.endpoint} by ${placed.owner.id}: ${end.why}`)
     const isAllowed = attemptNo < MAX_ATTEMPTS && (end.isFree || ctx.budget.tryWithdraw())
     if (!isAllowed) throw new contracts.FailureError(toLost(run, end.why))
     placed = await reattach(ctx, run, placed, end) ?? await placeOrThrow(ctx, run)
@@ -121,11 +121,11 @@
 }
 
 function toLost (run: Run, why: string): contracts.Failure {
-  if (run.answer.due() > 0) return { kind: 'answer_cut', detail: why }
+  if (run.answer.nextEventIndex() > 0) return { kind: 'answer_cut', detail: why }
   return { kind: 'endpoint_lost', ran: run.isReached ? 'unknown' : 'no', detail: why }
 }
 
-async function placeOrThrow (ctx: context.EntryContext, run: Run): Promise<placing.Placed> {
+async function placeOrThrow (ctx: context.EntryContext, run: Run): Promise<placement.Placed> {
   const placed = await ctx.placer.place(run.request)
   if (placed.kind === 'placed') return placed
   const { failure } = placed
@@ -144,7 +144,7 @@
   | { kind: 'failed', failure: contracts.Failure }
   | { kind: 'broke', why: string, isFree: boolean, isLinkLost: boolean }
 
-async function follow (ctx: context.EntryContext, run: Run, placed: placing.Placed): Promise<FollowEnd> {
+async function follow (ctx: context.EntryContext, run: Run, placed: placement.Placed): Promise<FollowEnd> {
   const { answer, request } = run
   while (true) {
     const event = await placed.attempt.next()
@@ -155,10 +155,10 @@
       case 'chunk':
         run.isReached = true
         ctx.invariants.check('attemptMatch', event.attempt === placed.attempt.id, () => `${event.attempt} in ${placed.attempt.id}`)
-        if (answer.take(event.n, event.data) === 'gap') return { kind: 'broke', why: `event ${event.n} where ${answer.due()} was due`, isFree: false, isLinkLost: false }
+        if (answer.append(event.n, event.data) === 'gap') return { kind: 'broke', why: `event ${event.n} where ${answer.nextEventIndex()} was due`, isFree: false, isLinkLost: false }
         break
       case 'done':
-        ctx.invariants.check('answerOrder', event.count === answer.due(), () => `${answer.due()} events of ${event.count}`)
+        ctx.invariants.check('answerOrder', event.count === answer.nextEventIndex(), () => `${answer.nextEventIndex()} events of ${event.count}`)
         run.writer.finish()
         noteDone(ctx, run, event)
         return { kind: 'whole' }
@@ -177,7 +177,7 @@
   }
 }
 
-function onLost (ctx: context.EntryContext, run: Run, placed: placing.Placed, event: Extract<contracts.PeerEvent, { t: 'lost' }>): FollowEnd {
+function onLost (ctx: context.EntryContext, run: Run, placed: placement.Placed, event: Extract<contracts.PeerEvent, { t: 'lost' }>): FollowEnd {
   const { request } = run
   if (event.status !== undefined && event.status < 500) return { kind: 'failed', failure: { kind: 'endpoint_error', status: event.status, detail: event.detail } }
   request.excluded.add(placed.endpoint)
@@ -190,11 +190,11 @@
 }
 
 /** After a lost link, the owner may still have the attempt: the same attempt id takes it up where it was. */
-async function reattach (ctx: context.EntryContext, run: Run, placed: placing.Placed, end: Extract<FollowEnd, { kind: 'broke' }>): Promise<placing.Placed | undefined> {
+async function reattach (ctx: context.EntryContext, run: Run, placed: placement.Placed, end: Extract<FollowEnd, { kind: 'broke' }>): Promise<placement.Placed | undefined> {
   if (!end.isLinkLost) return undefined
   const isStillThere = ctx.member.views.find(placed.owner.id)?.incarnation === placed.owner.incarnation
   if (!isStillThere) return undefined
-  const tried = await ctx.placer.tryOne(run.request, placed.endpoint, { waitMs: 0, importFrom: undefined, attemptId: placed.attempt.id })
+  const tried = await ctx.placer.tryEndpoint(run.request, placed.endpoint, { waitMs: 0, importFrom: undefined, attemptId: placed.attempt.id })
   return tried.kind === 'placed' ? tried : undefined
 }
 
@@ -204,5 +204,5 @@
   ctx.metrics.requests.inc({ account, outcome: 'answered' })
   ctx.metrics.promptTokens.inc({ cached: 'yes' }, event.cachedTokens)
   ctx.metrics.promptTokens.inc({ cached: 'no' }, Math.max(0, event.promptTokens - event.cachedTokens))
-  run.request.trace.note('answered', `${event.count} events, ${event.cachedTokens} of ${event.promptTokens} prompt tokens from the cache`)
+  run.request.trace.record('answered', `${event.count} events, ${event.cachedTokens} of ${event.promptTokens} prompt tokens from the cache`)
 }
--- a/packages/router/src/chatPlaces.ts
+++ b/packages/router/src/chatLocations.ts
@@ -4,9 +4,9 @@
 import * as routing from '@kingcupdeck/routing'
 
 /** Where chats ran. */
-export interface ChatPlaces {
+export interface ChatLocations {
   /** Remembers where a chat ran. */
-  note (chat: string, home: string, endpoint: string): void
+  record (chat: string, home: string, endpoint: string): void
   /** @returns the other endpoint that a request should be pointed to, once, while that one is ready */
   find (msg: contracts.Dispatch): string | undefined
 }
@@ -16,10 +16,10 @@
  * @param table the endpoints as announced
  * @returns the memory, empty
  */
-export function createChatPlaces (table: membership.EndpointTable): ChatPlaces {
+export function createChatLocations (table: membership.EndpointTable): ChatLocations {
   const places = routing.createAffinityTable()
   return {
-    note (chat, home, endpoint) {
+    record (chat, home, endpoint) {
       if (home === endpoint) places.delete(`${chat}\n${home}`)
       else places.set(`${chat}\n${home}`, endpoint)
     },
--- a/packages/router/src/chatRequest.ts
+++ b/packages/router/src/chatRequest.ts
@@ -26,8 +26,8 @@
  * @param answer what the caller has already
  * @returns the body
  */
-export function toEngineBody (chat: contracts.ChatRequest, answer: answers.GrowingAnswer): Uint8Array {
-  const due = answer.due()
+export function toEngineBody (chat: contracts.ChatRequest, answer: answers.PartialAnswer): Uint8Array {
+  const due = answer.nextEventIndex()
   const resume = due > 0 ? { kingcupdeck_resume: { offset: due, text: answer.text() } } : {}
   return Buffer.from(JSON.stringify({ ...chat, stream: true, stream_options: { ...chat.stream_options, include_usage: true }, ...resume }))
 }
@@ -62,6 +62,6 @@
  * @param chat the request
  * @returns whether it returns
  */
-export function isReturning (chat: contracts.ChatRequest): boolean {
+export function isMultiTurn (chat: contracts.ChatRequest): boolean {
   return chat.messages.length >= RETURNING_MESSAGES
 }
--- a/packages/router/src/endpointNews.ts
+++ b/packages/router/src/endpointGossip.ts
@@ -5,35 +5,35 @@
 import type * as ownedEndpoint from './ownedEndpoint.js'
 
 /** News of endpoints. */
-export interface EndpointNews {
+export interface EndpointGossip {
   /** Spreads what an announcement changes. */
-  noteAnnouncement (announcement: contracts.Announcement): void
+  publishAnnouncement (announcement: contracts.Announcement): void
   /** Spreads that an endpoint went away or silent. */
-  noteGone (endpoint: ownedEndpoint.OwnedEndpoint): void
+  publishGone (endpoint: ownedEndpoint.OwnedEndpoint): void
 }
 
 /** What news is made with. */
-export interface EndpointNewsOptions { table: membership.EndpointTable, gossip: membership.Gossip, log: telemetry.Log }
+export interface EndpointGossipOptions { table: membership.EndpointTable, gossip: membership.Gossip, log: telemetry.Log }
 
 /**
  * Creates the news of an owner.
  * @param opts the table and the way to others
  * @returns the news
  */
-export function createEndpointNews (opts: EndpointNewsOptions): EndpointNews {
+export function createEndpointGossip (opts: EndpointGossipOptions): EndpointGossip {
   const { table, gossip, log } = opts
   return {
-    noteAnnouncement (announcement) {
+    publishAnnouncement (announcement) {
       const entry = toEntry(announcement)
       const known = table.get(entry.id)
       const isSame = known !== undefined && JSON.stringify({ ...known, seq: 0 }) === JSON.stringify({ ...entry, seq: 0 })
       if (isSame || !gossip.merge(entry)) return
       if (known?.state !== entry.state) log.event(entry.state === 'ready' ? 'endpointJoined' : 'endpointLeaving', { endpoint: entry.id, service: entry.service })
     },
-    noteGone (endpoint) {
+    publishGone (endpoint) {
       const entry = table.get(endpoint.id)
-      endpoint.wasGone = true
-      endpoint.heardAt = -Infinity
+      endpoint.isMarkedGone = true
+      endpoint.lastAnnouncementAt = -Infinity
       if (entry === undefined || entry.state === 'gone') return
       const seq = Math.max(entry.seq, endpoint.announcement?.boot === entry.boot ? endpoint.announcement.seq : 0)
       gossip.merge({ ...entry, seq, state: 'gone' })
--- a/packages/router/src/engineStream.ts
+++ b/packages/router/src/engineStream.ts
@@ -24,7 +24,7 @@
   lease: links.EndpointConnection
   session: session.Session
   /** Header of the resume: the last event that arrived, as the event-stream standard has it. */
-  lastEvent: string | undefined
+  lastEventId: string | undefined
 }
 
 const MAX_ERROR_BYTES = 2048
@@ -65,7 +65,7 @@
     [contracts.HEADERS.chat]: work.chat,
     [contracts.HEADERS.priority]: String(msg.rank)
   }
-  if (opts.lastEvent !== undefined) headers['last-event-id'] = opts.lastEvent
+  if (opts.lastEventId !== undefined) headers['last-event-id'] = opts.lastEventId
   const res = await opts.lease.client.request({ path: '/v1/chat/completions', method: 'POST', headers, body: Buffer.from(msg.body), signal: watch.signal })
   watch.touch()
   if (res.statusCode !== 200) {
--- a/packages/router/src/entryContext.ts
+++ b/packages/router/src/entryContext.ts
@@ -7,7 +7,7 @@
 import type * as auths from './auth.js'
 import type * as helpers from './http.js'
 import type * as ledgerClient from './ledgerClient.js'
-import type * as placing from './placing.js'
+import type * as placement from './placement.js'
 import type * as traces from './traces.js'
 
 /** How urgent a request is. */
@@ -16,7 +16,7 @@
 /** What the handlers of an entry instance share. */
 export interface EntryContext {
   member: membership.Membership
-  placer: placing.Placer
+  placer: placement.Placer
   attempts: attempts.Attempts
   ledger: ledgerClient.LedgerClient
   suspects: routing.Suspects
@@ -26,9 +26,9 @@
   invariants: telemetry.Invariants
   maxBodyBytes: number
   /** @returns the document in force. @throws FailureError `not_serving` before there is one */
-  needDocument (): contracts.Document
+  requireDocument (): contracts.Document
   /** Takes one request out of a client account's limit. @throws FailureError `account_limit` */
-  checkLimit (account: auths.Account): void
+  enforceRateLimit (account: auths.Account): void
   /** @returns priority and patience of a request */
   toUrgency (exchange: helpers.Exchange, account: auths.Account, priority?: string): Urgency
   /** @returns a signal that is aborted when the caller goes away before the answer is whole */
--- a/packages/router/src/execution.ts
+++ b/packages/router/src/execution.ts
@@ -20,11 +20,11 @@
   log: telemetry.Log
   metrics: telemetry.RouterMetrics
   invariants: telemetry.Invariants
-  isImporting: boolean
+  isKvImportEnabled: boolean
   /** @returns why the endpoint takes no work now, or undefined if it does */
-  findObstacle (): contracts.DeclineReason | undefined
+  findDeclineReason (): contracts.DeclineReason | undefined
   markGone (): void
-  spreadSuspects (fingerprints: readonly string[]): void
+  broadcastSuspects (fingerprints: readonly string[]): void
 }
 
 /** How an attempt ended for its owner; all but `declined` has been told to the entry instance. */
@@ -61,7 +61,7 @@
     }
     // One event is asked for again: it may be the finish, which this owner must have seen itself.
     const lastEvent = session.nextChunk > 0 || resumes > 0 ? `${session.msg.attempt}.${Math.max(-1, session.nextChunk - 2)}` : undefined
-    const end = await engineStream.runStream({ lease, session, lastEvent })
+    const end = await engineStream.runStream({ lease, session, lastEventId: lastEvent })
     switch (end.kind) {
       case 'whole':
         session.emit({ t: 'done', attempt: session.msg.attempt, count: session.nextChunk, promptTokens: end.promptTokens, cachedTokens: end.cachedTokens, tokens: end.tokens })
@@ -140,7 +140,7 @@
 function checkDispatch (opts: ExecutionOptions): SessionEnd | undefined {
   const { session, invariants, endpoint, member } = opts
   if (session.abort.signal.aborted) return session.reached ? { kind: 'ended' } : { kind: 'declined', reason: 'void' }
-  const obstacle = session.reached ? undefined : opts.findObstacle()
+  const obstacle = session.reached ? undefined : opts.findDeclineReason()
   if (obstacle !== undefined) return { kind: 'declined', reason: obstacle }
   if (session.reached) return undefined
   invariants.check('leaseBeforeDispatch', member.leaseRemainingMs() > 0, () => `${session.msg.attempt} on ${endpoint.id} without a lease`)
@@ -150,7 +150,7 @@
   return undefined
 }
 
-function endLost (opts: ExecutionOptions, verdict: ownedEndpoint.Verdict, detail: string): SessionEnd {
+function endLost (opts: ExecutionOptions, verdict: ownedEndpoint.ProbeResult, detail: string): SessionEnd {
   const { session } = opts
   if (!session.reached) return { kind: 'declined', reason: 'connect_refused' }
   session.emit({ t: 'lost', attempt: session.msg.attempt, detail: `${detail}; endpoint ${verdict}`, death: verdict === 'died' ? toDeath(opts.endpoint) : undefined })
@@ -158,16 +158,16 @@
 }
 
 /** Finds out, once for all attempts that broke together, whether the endpoint died. */
-async function judge (opts: ExecutionOptions): Promise<ownedEndpoint.Verdict> {
+async function judge (opts: ExecutionOptions): Promise<ownedEndpoint.ProbeResult> {
   const { endpoint } = opts
-  endpoint.verdict ??= probe(opts).then(verdict => {
-    endpoint.verdict = undefined
+  endpoint.pendingProbe ??= probe(opts).then(verdict => {
+    endpoint.pendingProbe = undefined
     return verdict
   })
-  return await endpoint.verdict
+  return await endpoint.pendingProbe
 }
 
-async function probe (opts: ExecutionOptions): Promise<ownedEndpoint.Verdict> {
+async function probe (opts: ExecutionOptions): Promise<ownedEndpoint.ProbeResult> {
   const { endpoint, suspects, log } = opts
   const boot = endpoint.announcement?.boot
   const verdict = await askHealth(endpoint.address, boot)
@@ -182,7 +182,7 @@
     if (suspects.isQuarantined(session.msg.fingerprint)) log.event('requestQuarantined', { request: session.msg.request, endpoint: endpoint.id })
   }
   log.event('endpointDied', { endpoint: endpoint.id, inFlight: inFlight.length })
-  if (inFlight.length > 0) opts.spreadSuspects(inFlight.map(session => session.msg.fingerprint))
+  if (inFlight.length > 0) opts.broadcastSuspects(inFlight.map(session => session.msg.fingerprint))
   return verdict
 }
 
@@ -191,7 +191,7 @@
   return `${endpoint.id}@${endpoint.announcement?.boot ?? 0}`
 }
 
-async function askHealth (address: string, boot: number | undefined): Promise<ownedEndpoint.Verdict> {
+async function askHealth (address: string, boot: number | undefined): Promise<ownedEndpoint.ProbeResult> {
   try {
     const res = await undici.request(`http://${address}/health`, { signal: AbortSignal.timeout(HEALTH_MS), reset: true })
     const body = await res.body.json() as { boot?: number }
@@ -206,7 +206,7 @@
 async function importCache (opts: ExecutionOptions): Promise<void> {
   const { session, endpoint, table } = opts
   const { work } = session.msg
-  if (work.kind !== 'chat' || work.importFrom === undefined || !opts.isImporting || work.importFrom === endpoint.id) return
+  if (work.kind !== 'chat' || work.importFrom === undefined || !opts.isKvImportEnabled || work.importFrom === endpoint.id) return
   const source = table.get(work.importFrom)
   if (source === undefined || source.state === 'gone') return
   try {
--- a/packages/router/src/ids.ts
+++ b/packages/router/src/ids.ts
@@ -27,14 +27,14 @@
 }
 
 /** What is wrong with an idempotency key, or the time it carries. */
-export type CheckedKey = { kind: 'usable', atMs: number } | { kind: 'unusable', detail: string }
+export type IdempotencyKeyCheck = { kind: 'usable', atMs: number } | { kind: 'unusable', detail: string }
 
 /**
  * Checks an idempotency key: it must carry its time, so that a key too old to be remembered is told from a new one.
  * @param key the header's value
  * @returns the time the key was made, or what is wrong with it
  */
-export function checkKey (key: string): CheckedKey {
+export function checkIdempotencyKey (key: string): IdempotencyKeyCheck {
   if (!uuid.validate(key)) return { kind: 'unusable', detail: 'it is not a UUID' }
   if (uuid.version(key) !== 7) return { kind: 'unusable', detail: `it is a UUID of version ${uuid.version(key)}, not 7` }
   return { kind: 'usable', atMs: contracts.toKeyMs(key) }
--- a/packages/router/src/ownedEndpoint.ts
+++ b/packages/router/src/ownedEndpoint.ts
@@ -9,7 +9,7 @@
   readonly id: string
   /** The last announcement that came here; undefined once another instance owns the endpoint. */
   announcement: contracts.Announcement | undefined
-  heardAt: number
+  lastAnnouncementAt: number
   /** The interval between announcements that it was asked for. */
   intervalMs: number
   client: links.EndpointClient
@@ -17,26 +17,26 @@
   /** Requests admitted and not ended; the exact count in flight of this owner. */
   readonly sessions: Set<session.Session>
   readonly queue: routing.FairQueue<session.Session>
-  readonly wait: routing.WaitEstimator
+  readonly waitEstimate: routing.WaitEstimator
   /** Requests of an earlier owner that may still run: an upper bound that only falls. */
-  foreign: number
+  inheritedLoad: number
   /** Lowest own count since the last announcement, and in the interval before. */
-  low: { current: number, previous: number }
+  lowestOwnLoad: { current: number, previous: number }
   /** The suspect that runs here; no other may run beside it. */
   suspect: session.Session | undefined
   /** Highest fencing number sent to it or announced by it. */
-  fence: number
+  highestFence: number
   orderedAt: number
   /** Times at which it came back after being gone. */
-  returns: number[]
-  heldUntil: number
-  wasGone: boolean
+  recoveries: number[]
+  suspendedUntil: number
+  isMarkedGone: boolean
   /** The check of whether it died, while one is under way. */
-  verdict: Promise<Verdict> | undefined
+  pendingProbe: Promise<ProbeResult> | undefined
 }
 
 /** What became of an endpoint whose connection failed. */
-export type Verdict = 'alive' | 'died' | 'unresponsive'
+export type ProbeResult = 'alive' | 'died' | 'unresponsive'
 
 const FLAP_WINDOW_MS = 60_000
 const FLAPS_ALLOWED = 2
@@ -52,22 +52,22 @@
   return {
     id,
     announcement: undefined,
-    heardAt: -Infinity,
+    lastAnnouncementAt: -Infinity,
     intervalMs: contracts.ANNOUNCE_INTERVAL_MS,
     client: links.createEndpointClient(`http://${address}`),
     address,
     sessions: new Set(),
     queue: routing.createFairQueue(),
-    wait: routing.createWaitEstimator(),
-    foreign: 0,
-    low: { current: 0, previous: 0 },
+    waitEstimate: routing.createWaitEstimator(),
+    inheritedLoad: 0,
+    lowestOwnLoad: { current: 0, previous: 0 },
     suspect: undefined,
-    fence: 0,
+    highestFence: 0,
     orderedAt: -Infinity,
-    returns: [],
-    heldUntil: -Infinity,
-    wasGone: false,
-    verdict: undefined
+    recoveries: [],
+    suspendedUntil: -Infinity,
+    isMarkedGone: false,
+    pendingProbe: undefined
   }
 }
 
@@ -77,7 +77,7 @@
  * @param announcement what it says of itself
  * @returns whether it says nothing new
  */
-export function isOld (endpoint: OwnedEndpoint, announcement: contracts.Announcement): boolean {
+export function isOutdated (endpoint: OwnedEndpoint, announcement: contracts.Announcement): boolean {
   const known = endpoint.announcement
   return known !== undefined && (known.boot > announcement.boot || (known.boot === announcement.boot && known.seq >= announcement.seq))
 }
@@ -88,7 +88,7 @@
  * @param announcement what it says of itself
  * @param handedOver requests that an earlier owner says it still has in flight there
  */
-export function takeAnnouncement (endpoint: OwnedEndpoint, announcement: contracts.Announcement, handedOver: number): void {
+export function applyAnnouncement (endpoint: OwnedEndpoint, announcement: contracts.Announcement, handedOver: number): void {
   const before = endpoint.announcement
   const address = `${announcement.host}:${announcement.port}`
   if (address !== endpoint.address) {
@@ -96,13 +96,13 @@
     endpoint.client = links.createEndpointClient(`http://${address}`)
     endpoint.address = address
   }
-  if (before === undefined) endpoint.foreign = Math.max(handedOver, announcement.load - endpoint.sessions.size)
-  else if (before.boot !== announcement.boot) endpoint.foreign = 0
+  if (before === undefined) endpoint.inheritedLoad = Math.max(handedOver, announcement.load - endpoint.sessions.size)
+  else if (before.boot !== announcement.boot) endpoint.inheritedLoad = 0
   else lowerForeign(endpoint, announcement.load)
-  endpoint.low = { current: endpoint.sessions.size, previous: endpoint.low.current }
+  endpoint.lowestOwnLoad = { current: endpoint.sessions.size, previous: endpoint.lowestOwnLoad.current }
   endpoint.announcement = announcement
-  endpoint.heardAt = performance.now()
-  endpoint.fence = Math.max(endpoint.fence, announcement.fence)
+  endpoint.lastAnnouncementAt = performance.now()
+  endpoint.highestFence = Math.max(endpoint.highestFence, announcement.fence)
 }
 
 /**
@@ -110,8 +110,8 @@
  * foreign one only falls. So what is left after our lowest own count in the interval is an upper bound.
  */
 function lowerForeign (endpoint: OwnedEndpoint, announcedLoad: number): void {
-  const lowest = Math.min(endpoint.low.current, endpoint.low.previous)
-  endpoint.foreign = Math.min(endpoint.foreign, Math.max(0, announcedLoad - lowest))
+  const lowest = Math.min(endpoint.lowestOwnLoad.current, endpoint.lowestOwnLoad.previous)
+  endpoint.inheritedLoad = Math.min(endpoint.inheritedLoad, Math.max(0, announcedLoad - lowest))
 }
 
 /**
@@ -120,7 +120,7 @@
  * @returns requests in flight, those of an earlier owner among them
  */
 export function toLoad (endpoint: OwnedEndpoint): number {
-  return endpoint.sessions.size + endpoint.foreign
+  return endpoint.sessions.size + endpoint.inheritedLoad
 }
 
 /**
@@ -128,8 +128,8 @@
  * @param endpoint the endpoint
  * @returns whether it must be taken for gone
  */
-export function isSilent (endpoint: OwnedEndpoint): boolean {
-  return performance.now() - endpoint.heardAt > contracts.ANNOUNCE_TIMEOUT_INTERVALS * endpoint.intervalMs
+export function isUnresponsive (endpoint: OwnedEndpoint): boolean {
+  return performance.now() - endpoint.lastAnnouncementAt > contracts.ANNOUNCE_TIMEOUT_INTERVALS * endpoint.intervalMs
 }
 
 /**
@@ -138,7 +138,7 @@
  * @returns whether it lately said that it is ready
  */
 export function isReady (endpoint: OwnedEndpoint): boolean {
-  return endpoint.announcement?.state === 'ready' && !isSilent(endpoint)
+  return endpoint.announcement?.state === 'ready' && !isUnresponsive(endpoint)
 }
 
 /**
@@ -146,11 +146,11 @@
  * @param endpoint the endpoint
  * @returns whether it is held back now
  */
-export function noteReturn (endpoint: OwnedEndpoint): boolean {
+export function recordRecovery (endpoint: OwnedEndpoint): boolean {
   const now = performance.now()
-  endpoint.returns = [...endpoint.returns.filter(at => now - at < FLAP_WINDOW_MS), now]
-  const excess = endpoint.returns.length - FLAPS_ALLOWED
+  endpoint.recoveries = [...endpoint.recoveries.filter(at => now - at < FLAP_WINDOW_MS), now]
+  const excess = endpoint.recoveries.length - FLAPS_ALLOWED
   if (excess <= 0) return false
-  endpoint.heldUntil = now + Math.min(MAX_HOLD_MS, 1000 * 2 ** excess)
+  endpoint.suspendedUntil = now + Math.min(MAX_HOLD_MS, 1000 * 2 ** excess)
   return true
 }
--- a/packages/router/src/owner.ts
+++ b/packages/router/src/owner.ts
@@ -7,9 +7,9 @@
 import * as routing from '@kingcupdeck/routing'
 import * as telemetry from '@kingcupdeck/telemetry'
 import type * as attempts from './attempts.js'
-import * as chatPlaces from './chatPlaces.js'
+import * as chatLocations from './chatLocations.js'
 import * as detachedSessions from './detachedSession.js'
-import * as endpointNews from './endpointNews.js'
+import * as endpointGossip from './endpointGossip.js'
 import * as execution from './execution.js'
 import * as memory from './expiringSet.js'
 import * as ownedEndpoint from './ownedEndpoint.js'
@@ -27,30 +27,30 @@
   invariants: telemetry.Invariants
   policy: routing.PlacementPolicy
   /** Whether chats that run away from their cache take it along. */
-  isImporting: boolean
+  isKvImportEnabled: boolean
   /** Tells all peers of suspects. */
-  spreadSuspects (fingerprints: readonly string[]): void
+  broadcastSuspects (fingerprints: readonly string[]): void
 }
 
 /** The owner role of an instance. */
 export interface Owner {
   readonly endpoints: ReadonlyMap<string, ownedEndpoint.OwnedEndpoint>
   /** Takes a request for an endpoint; its events go to the sink. */
-  dispatch (msg: contracts.Dispatch, sink: attempts.Sink): void
+  dispatch (msg: contracts.Dispatch, sink: attempts.EventSink): void
   /** Drops an attempt. @returns whether a byte of it may have reached an endpoint */
   cancel (attempt: string): { reached: boolean }
   /** Takes an announcement of an endpoint that this instance owns. @returns when the next one is wanted, ms */
-  takeAnnouncement (announcement: contracts.Announcement, handedOver: number): number
+  receiveAnnouncement (announcement: contracts.Announcement, handedOver: number): number
   /** Remembers where a chat ran. */
-  notePlace (chat: string, home: string, endpoint: string): void
+  recordChatLocation (chat: string, home: string, endpoint: string): void
   /** @returns whether this instance owns an endpoint and nobody else can still act as its owner */
   owns (endpoint: membership.EndpointLocation): boolean
   /** Forgets endpoints that are owned elsewhere or gone, once nothing of theirs runs here. */
-  forgetIdle (): void
+  removeIdle (): void
   /** Notes that an endpoint went away or silent. */
   markGone (endpoint: ownedEndpoint.OwnedEndpoint): void
   /** Admits what can be admitted now. */
-  pump (endpoint: ownedEndpoint.OwnedEndpoint): void
+  admitQueued (endpoint: ownedEndpoint.OwnedEndpoint): void
   /** Ends the wait of everything queued on an endpoint. */
   declineQueue (endpoint: ownedEndpoint.OwnedEndpoint, reason: contracts.DeclineReason): void
   /** @returns the endpoints that announce themselves here, for operators */
@@ -75,10 +75,10 @@
   const bySession = new Map<string, sessions.Session>()
   const cancelled = memory.createExpiringSet(CANCELLED_MEMORY_MS)
   const endedReached = memory.createExpiringSet(CANCELLED_MEMORY_MS)
-  const places = chatPlaces.createChatPlaces(table)
+  const places = chatLocations.createChatLocations(table)
   const isCapped = opts.policy === 'owner'
   const loads = poolLoads.createPoolLoads({ endpoints, member, table, isCapped })
-  const news = endpointNews.createEndpointNews(opts)
+  const news = endpointGossip.createEndpointGossip(opts)
 
   const ensure = (id: string, address: string): ownedEndpoint.OwnedEndpoint => {
     let endpoint = endpoints.get(id)
@@ -102,7 +102,7 @@
     if (!member.isServing() || member.self().incarnation !== msg.incarnation) return 'void'
     const entry = table.get(endpoint.id)
     if (entry === undefined || !owns(entry)) return 'not_owner'
-    if (!ownedEndpoint.isReady(endpoint) || performance.now() < endpoint.heldUntil) return 'unready'
+    if (!ownedEndpoint.isReady(endpoint) || performance.now() < endpoint.suspendedUntil) return 'unready'
     if (suspects.isQuarantined(msg.fingerprint)) return 'quarantined'
     return undefined
   }
@@ -144,13 +144,13 @@
       ...opts,
       endpoint,
       session,
-      findObstacle: () => findObstacle(endpoint, session.msg),
+      findDeclineReason: () => findObstacle(endpoint, session.msg),
       markGone: () => { markGone(endpoint) }
     })
     endpoint.sessions.delete(session)
-    endpoint.low.current = Math.min(endpoint.low.current, endpoint.sessions.size)
+    endpoint.lowestOwnLoad.current = Math.min(endpoint.lowestOwnLoad.current, endpoint.sessions.size)
     if (endpoint.suspect === session) endpoint.suspect = undefined
-    endpoint.wait.record(performance.now() - session.admittedAt)
+    endpoint.waitEstimate.record(performance.now() - session.admittedAt)
     if (end.kind === 'declined') decline(session, end.reason)
     if (session.reached) endedReached.add(session.msg.attempt)
     session.state = 'ended'
@@ -183,7 +183,7 @@
     }
   }
 
-  const predictWait = (endpoint: ownedEndpoint.OwnedEndpoint, rank: number): number => endpoint.wait.predict(ownedEndpoint.toLoad(endpoint), endpoint.queue.countAhead(rank), endpoint.announcement?.slots ?? 1)
+  const predictWait = (endpoint: ownedEndpoint.OwnedEndpoint, rank: number): number => endpoint.waitEstimate.predict(ownedEndpoint.toLoad(endpoint), endpoint.queue.countAhead(rank), endpoint.announcement?.slots ?? 1)
 
   const enqueue = (endpoint: ownedEndpoint.OwnedEndpoint, session: sessions.Session): void => {
     const { msg } = session
@@ -202,18 +202,18 @@
   }
 
   const markGone = (endpoint: ownedEndpoint.OwnedEndpoint): void => {
-    news.noteGone(endpoint)
+    news.publishGone(endpoint)
     declineQueue(endpoint, 'unready')
   }
 
-  const attachAgain = (msg: contracts.Dispatch, sink: attempts.Sink): boolean => {
+  const attachAgain = (msg: contracts.Dispatch, sink: attempts.EventSink): boolean => {
     const session = bySession.get(msg.attempt)
     if (session === undefined) return false
     session.attach(sink, msg.work.kind === 'chat' ? msg.work.resumeFrom : 0)
     return true
   }
 
-  const dispatch = (msg: contracts.Dispatch, sink: attempts.Sink): void => {
+  const dispatch = (msg: contracts.Dispatch, sink: attempts.EventSink): void => {
     if (attachAgain(msg, sink)) return
     const session = sessions.createSession(msg, sink)
     const entry = table.get(msg.endpoint)
@@ -264,28 +264,28 @@
       if (session === undefined) return { reached: endedReached.has(attempt) }
       return drop(session)
     },
-    takeAnnouncement (announcement, handedOver) {
+    receiveAnnouncement (announcement, handedOver) {
       const endpoint = ensure(announcement.endpoint, `${announcement.host}:${announcement.port}`)
-      if (ownedEndpoint.isOld(endpoint, announcement)) return endpoint.intervalMs
-      const isBack = endpoint.wasGone && announcement.state === 'ready'
-      ownedEndpoint.takeAnnouncement(endpoint, announcement, handedOver)
+      if (ownedEndpoint.isOutdated(endpoint, announcement)) return endpoint.intervalMs
+      const isBack = endpoint.isMarkedGone && announcement.state === 'ready'
+      ownedEndpoint.applyAnnouncement(endpoint, announcement, handedOver)
       if (isBack) {
-        endpoint.wasGone = false
-        if (ownedEndpoint.noteReturn(endpoint)) opts.log.event('endpointFlapping', { endpoint: endpoint.id, heldMs: Math.round(endpoint.heldUntil - performance.now()) })
+        endpoint.isMarkedGone = false
+        if (ownedEndpoint.recordRecovery(endpoint)) opts.log.event('endpointFlapping', { endpoint: endpoint.id, heldMs: Math.round(endpoint.suspendedUntil - performance.now()) })
       }
-      news.noteAnnouncement(announcement)
+      news.publishAnnouncement(announcement)
       if (announcement.state === 'leaving') declineQueue(endpoint, 'unready')
       else pump(endpoint)
       endpoint.intervalMs = Math.max(contracts.ANNOUNCE_INTERVAL_MS, countOwned() * contracts.ANNOUNCE_BYTES / contracts.ANNOUNCE_BUDGET_BYTES_PER_SECOND * 1000)
       return endpoint.intervalMs
     },
-    notePlace: places.note,
+    recordChatLocation: places.record,
     owns,
-    pump,
-    forgetIdle () {
+    admitQueued: pump,
+    removeIdle () {
       for (const [id, endpoint] of endpoints) {
         const isIdle = endpoint.sessions.size === 0 && endpoint.queue.size() === 0
-        const isElsewhere = endpoint.announcement === undefined || (endpoint.wasGone && table.get(id) === undefined)
+        const isElsewhere = endpoint.announcement === undefined || (endpoint.isMarkedGone && table.get(id) === undefined)
         if (!isIdle || !isElsewhere) continue
         endpoint.client.close()
         endpoints.delete(id)
--- a/packages/router/src/ownerTasks.ts
+++ b/packages/router/src/ownerTasks.ts
@@ -37,7 +37,7 @@
     links.startPeriodic(ORDER_CHECK_MS, async () => { await sendOrders(opts) }, () => {})
   ]
   const views = opts.member.viewNumbers.observe(() => { handOver(opts) })
-  const pools = opts.member.poolLoadUpdates.observe(() => { for (const endpoint of opts.owner.endpoints.values()) opts.owner.pump(endpoint) })
+  const pools = opts.member.poolLoadUpdates.observe(() => { for (const endpoint of opts.owner.endpoints.values()) opts.owner.admitQueued(endpoint) })
   views.catch(() => {})
   pools.catch(() => {})
   return () => { for (const stop of stops) stop() }
@@ -51,11 +51,11 @@
     return
   }
   for (const endpoint of opts.owner.endpoints.values()) {
-    const isSilent = endpoint.announcement !== undefined && ownedEndpoint.isSilent(endpoint)
-    if (isSilent && !endpoint.wasGone) opts.owner.markGone(endpoint)
-    opts.owner.pump(endpoint)
+    const isSilent = endpoint.announcement !== undefined && ownedEndpoint.isUnresponsive(endpoint)
+    if (isSilent && !endpoint.isMarkedGone) opts.owner.markGone(endpoint)
+    opts.owner.admitQueued(endpoint)
   }
-  opts.owner.forgetIdle()
+  opts.owner.removeIdle()
   for (const entry of opts.table.all()) {
     const isUnheard = entry.state !== 'gone' && opts.owner.owns(entry) && opts.owner.endpoints.get(entry.id)?.announcement === undefined
     if (!isUnheard) {
@@ -84,7 +84,7 @@
     if (next === undefined || next.id === self.id) continue
     endpoint.announcement = undefined
     opts.owner.declineQueue(endpoint, 'not_owner')
-    opts.sendTo(next, { t: 'handover', announcement, inFlight: endpoint.sessions.size + endpoint.foreign })
+    opts.sendTo(next, { t: 'handover', announcement, inFlight: endpoint.sessions.size + endpoint.inheritedLoad })
   }
 }
 
@@ -99,9 +99,9 @@
   const { announcement } = endpoint
   const entry = opts.table.get(endpoint.id)
   if (announcement?.state !== 'ready' || entry === undefined || !opts.owner.owns(entry)) return false
-  const wanted = toWanted(doc, announcement)
+  const wanted = toDesiredModels(doc, announcement)
   if (wanted === undefined || isSame(wanted, announcement.carries)) return false
-  const isNew = opts.member.documentVersion() > endpoint.fence
+  const isNew = opts.member.documentVersion() > endpoint.highestFence
   return isNew || performance.now() - endpoint.orderedAt > ORDER_AGAIN_MS
 }
 
@@ -111,7 +111,7 @@
  * @param announcement the engine
  * @returns the wanted models, or undefined where the document says nothing
  */
-export function toWanted (doc: contracts.Document, announcement: contracts.Announcement): contracts.ServedModel[] | undefined {
+export function toDesiredModels (doc: contracts.Document, announcement: contracts.Announcement): contracts.ServedModel[] | undefined {
   const entries = Object.values(doc.carriages).filter(item => item.service === announcement.service)
   const entry = entries.find(item => item.engine === announcement.endpoint) ?? entries.find(item => item.engine === '*')
   return entry?.models.map(id => ({ model: id, adapter: doc.models[id].adapter, version: doc.models[id].version }))
@@ -130,11 +130,11 @@
 async function sendOrder (opts: OwnerTaskOptions, doc: contracts.Document, endpoint: ownedEndpoint.OwnedEndpoint): Promise<void> {
   const { announcement } = endpoint
   const fence = opts.member.documentVersion()
-  if (announcement === undefined || fence < endpoint.fence || !opts.member.isServing()) return
-  const carries = toWanted(doc, announcement)
+  if (announcement === undefined || fence < endpoint.highestFence || !opts.member.isServing()) return
+  const carries = toDesiredModels(doc, announcement)
   if (carries === undefined) return
-  opts.invariants.check('fenceNeverReverts', fence >= endpoint.fence, () => `order ${fence} after ${endpoint.fence} to ${endpoint.id}`)
-  endpoint.fence = fence
+  opts.invariants.check('fenceNeverReverts', fence >= endpoint.highestFence, () => `order ${fence} after ${endpoint.highestFence} to ${endpoint.id}`)
+  endpoint.highestFence = fence
   endpoint.orderedAt = performance.now()
   try {
     const res = await undici.request(`http://${endpoint.address}/orders`, {
--- a/packages/router/src/placing.ts
+++ b/packages/router/src/placement.ts
@@ -9,7 +9,7 @@
 import * as traces from './traces.js'
 
 /** A request as placing sees it. */
-export interface PlacingRequest {
+export interface PlacementRequest {
   requestId: string
   service: string
   /** What keeps a chat together. */
@@ -27,9 +27,9 @@
   /** @returns the work for an endpoint, with where the chat's cache lies */
   toWork (importFrom: string | undefined): contracts.Dispatch['work']
   /** Whether it may run twice. */
-  isRepeatable: boolean
+  isIdempotent: boolean
   /** Whether the chat was here before, so that a cache is worth looking for. */
-  isReturning: boolean
+  isMultiTurn: boolean
   /** Endpoints that failed it already. */
   excluded: Set<string>
   /** Whether it was in flight at a death of an endpoint. */
@@ -42,8 +42,8 @@
 /** An attempt that an owner took. */
 export interface Placed { kind: 'placed', attempt: attempts.Attempt, owner: contracts.Instance, endpoint: string, msg: contracts.Dispatch }
 
-/** What came of placing. */
-export type Placing = Placed | { kind: 'failed', failure: contracts.Failure }
+/** What came of placement. */
+export type PlacementResult = Placed | { kind: 'failed', failure: contracts.Failure }
 
 /** What placing is built from. */
 export interface PlacerOptions {
@@ -59,21 +59,21 @@
 
 /** Places requests. */
 export interface Placer {
-  place (request: PlacingRequest): Promise<Placing>
+  place (request: PlacementRequest): Promise<PlacementResult>
   /** Hands one request to the owner of a certain endpoint. */
-  tryOne (request: PlacingRequest, endpoint: string, how: TryHow): Promise<Tried>
+  tryEndpoint (request: PlacementRequest, endpoint: string, how: TryOptions): Promise<TryResult>
   /** Notes that this instance has one more or one less in flight on an endpoint. */
-  countOwn (endpoint: string, by: 1 | -1): void
+  adjustInFlight (endpoint: string, by: 1 | -1): void
 }
 
 /** How an endpoint is asked. */
-export interface TryHow { waitMs: number, importFrom: string | undefined, attemptId?: string }
+export interface TryOptions { waitMs: number, importFrom: string | undefined, attemptId?: string }
 
 /** An owner's refusal; nothing of the request went to an endpoint. */
 export interface Declined { kind: 'declined', reason: contracts.DeclineReason, load: number, retryAfterMs: number, endpoint: string | undefined }
 
 /** What one owner said. */
-export type Tried =
+export type TryResult =
   | Placed
   | Declined
   | { kind: 'uncertain', owner: contracts.Instance, attemptId: string }
@@ -90,7 +90,7 @@
   leastFull: { endpoint: string, load: number } | undefined
 }
 
-type Round = Placing | { kind: 'none', retryAfterMs: number }
+type Round = PlacementResult | { kind: 'none', retryAfterMs: number }
 
 /** Asking more owners than this for a free place costs more than a short wait in a queue. */
 const MAX_TRIES = 6
@@ -124,15 +124,15 @@
 
   const noteLoad = (endpoint: string, load: number): void => { reported.set(endpoint, { load, at: performance.now() }) }
 
-  const toCandidates = (request: PlacingRequest): readonly contracts.EndpointRecord[] => {
+  const toCandidates = (request: PlacementRequest): readonly contracts.EndpointRecord[] => {
     const ready = table.ready(request.service, request.model)
     if (request.excluded.size === 0) return ready
     const fresh = ready.filter(entry => !request.excluded.has(entry.id))
     return fresh.length > 0 ? fresh : ready
   }
 
-  const tryOne = async (request: PlacingRequest, endpoint: string, how: TryHow): Promise<Tried> => {
-    const declined = (reason: contracts.DeclineReason): Tried => ({ kind: 'declined', reason, load: 0, retryAfterMs: 0, endpoint: undefined })
+  const tryOne = async (request: PlacementRequest, endpoint: string, how: TryOptions): Promise<TryResult> => {
+    const declined = (reason: contracts.DeclineReason): TryResult => ({ kind: 'declined', reason, load: 0, retryAfterMs: 0, endpoint: undefined })
     const entry = table.get(endpoint)
     const owner = entry === undefined ? undefined : member.views.ownerOf(entry)
     if (owner === undefined) return declined('not_owner')
@@ -157,28 +157,28 @@
     switch (event.t) {
       case 'accepted':
         noteLoad(endpoint, event.load)
-        request.trace.note('accepted', `${endpoint} by ${owner.id} at load ${event.load}`)
+        request.trace.record('accepted', `${endpoint} by ${owner.id} at load ${event.load}`)
         return { kind: 'placed', attempt, owner, endpoint, msg }
       case 'declined':
-        attempt.end()
+        attempt.close()
         noteLoad(endpoint, event.load)
-        request.trace.note('declined', `${endpoint} by ${owner.id}: ${event.reason} at load ${event.load}`)
+        request.trace.record('declined', `${endpoint} by ${owner.id}: ${event.reason} at load ${event.load}`)
         return { kind: 'declined', reason: event.reason, load: event.load, retryAfterMs: event.retryAfterMs, endpoint: event.endpoint }
       default:
-        attempt.end()
-        request.trace.note('uncertain', `${owner.id} was lost before it said whether it took the request`)
+        attempt.close()
+        request.trace.record('uncertain', `${owner.id} was lost before it said whether it took the request`)
         return { kind: 'uncertain', owner, attemptId: msg.attempt }
     }
   }
 
   /** @returns where the chat's cache lies if it is not on the endpoint that is asked */
-  const findCache = (request: PlacingRequest, endpoint: string, search: Search): string | undefined => {
-    if (!request.isReturning) return undefined
+  const findCache = (request: PlacementRequest, endpoint: string, search: Search): string | undefined => {
+    if (!request.isMultiTurn) return undefined
     return search.place ?? caches.find({ ...request, ranked: search.ranked, candidates: toCandidates(request) }, endpoint)
   }
 
-  const resolveUncertain = async (request: PlacingRequest, tried: Extract<Tried, { kind: 'uncertain' }>): Promise<contracts.Failure | undefined> => {
-    if (request.isRepeatable) {
+  const resolveUncertain = async (request: PlacementRequest, tried: Extract<TryResult, { kind: 'uncertain' }>): Promise<contracts.Failure | undefined> => {
+    if (request.isIdempotent) {
       void opts.attempts.cancel(tried.owner, tried.attemptId)
       return undefined
     }
@@ -189,10 +189,10 @@
     return { kind: 'endpoint_lost', ran: 'unknown', detail: `instance ${tried.owner.id} was lost with the request` }
   }
 
-  const place = async (request: PlacingRequest): Promise<Placing> => {
+  const place = async (request: PlacementRequest): Promise<PlacementResult> => {
     const startedAt = performance.now()
     let pauseMs = FIRST_PAUSE_MS
-    const failed = (failure: contracts.Failure): Placing => ({ kind: 'failed', failure })
+    const failed = (failure: contracts.Failure): PlacementResult => ({ kind: 'failed', failure })
     while (true) {
       if (request.signal.aborted) return failed({ kind: 'cancelled', ran: 'no' })
       if (suspects.isQuarantined(request.fingerprint)) return failed({ kind: 'request_quarantined', ran: 'no', deaths: suspects.crashCount(request.fingerprint), retryAfterMs: suspects.remainingMs(request.fingerprint) })
@@ -208,7 +208,7 @@
     }
   }
 
-  const tryRound = async (request: PlacingRequest): Promise<Round> => {
+  const tryRound = async (request: PlacementRequest): Promise<Round> => {
     const candidates = toCandidates(request)
     if (candidates.length === 0) return { kind: 'none', retryAfterMs: 0 }
     const spec = member.document()?.services[request.service]
@@ -226,7 +226,7 @@
   }
 
   /** @returns the end of the search, or undefined where the next endpoint may be asked */
-  const settle = async (request: PlacingRequest, search: Search, endpoint: string, tried: Tried): Promise<Placing | undefined> => {
+  const settle = async (request: PlacementRequest, search: Search, endpoint: string, tried: TryResult): Promise<PlacementResult | undefined> => {
     switch (tried.kind) {
       case 'placed':
         noteSpill(request, search.ranked[0], endpoint)
@@ -262,10 +262,10 @@
     }
   }
 
-  const waitInQueue = async (request: PlacingRequest, search: Search, endpoint: string): Promise<Round> => {
+  const waitInQueue = async (request: PlacementRequest, search: Search, endpoint: string): Promise<Round> => {
     const waitMs = request.patienceUntil - performance.now()
     if (waitMs <= 0) return { kind: 'none', retryAfterMs: 0 }
-    request.trace.note('queues', `${endpoint}, up to ${Math.round(waitMs)} ms`)
+    request.trace.record('queues', `${endpoint}, up to ${Math.round(waitMs)} ms`)
     const tried = await tryOne(request, endpoint, { waitMs, importFrom: findCache(request, endpoint, search) })
     const end = await settle(request, search, endpoint, tried)
     if (end !== undefined) return end
@@ -275,18 +275,18 @@
   }
 
   /** Tells the home's owner where the chat ran, so that it is found there next time. */
-  const noteSpill = (request: PlacingRequest, home: string, endpoint: string): void => {
+  const noteSpill = (request: PlacementRequest, home: string, endpoint: string): void => {
     const entry = table.get(home)
     const work = request.toWork(undefined)
     if (entry === undefined || work.kind !== 'chat' || opts.policy !== 'owner') return
     const owner = member.views.ownerOf(entry)
     if (owner === undefined) return
-    if (home !== endpoint) opts.attempts.notePlace(owner, { t: 'placed', chat: work.chat, home, endpoint })
+    if (home !== endpoint) opts.attempts.recordChatLocation(owner, { t: 'placed', chat: work.chat, home, endpoint })
   }
 
   return {
     place,
-    tryOne,
-    countOwn (endpoint, by) { own.set(endpoint, Math.max(0, (own.get(endpoint) ?? 0) + by)) }
+    tryEndpoint: tryOne,
+    adjustInFlight (endpoint, by) { own.set(endpoint, Math.max(0, (own.get(endpoint) ?? 0) + by)) }
   }
 }
--- a/packages/router/src/plainEntry.ts
+++ b/packages/router/src/plainEntry.ts
@@ -8,7 +8,7 @@
 import * as helpers from './http.js'
 import * as ids from './ids.js'
 import type * as ledgerClient from './ledgerClient.js'
-import * as placing from './placing.js'
+import * as placement from './placement.js'
 
 const MAX_ATTEMPTS = 3
 const REPEAT_WAIT_MS = 4000
@@ -28,12 +28,12 @@
  * @param call the call's id
  */
 export async function servePlain (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account, service: string, call: string): Promise<void> {
-  const spec = ctx.needDocument().services[service]
+  const spec = ctx.requireDocument().services[service]
   const isAllowed = account.spec.services.includes(service)
   const callSpec = spec?.kind === 'plain' && isAllowed ? spec.calls[call] : undefined
   if (callSpec === undefined) throw new contracts.FailureError({ kind: 'unknown_service', service: `${service}/${call}` })
   const body = await helpers.readBody(exchange.req, ctx.maxBodyBytes)
-  ctx.checkLimit(account)
+  ctx.enforceRateLimit(account)
   const plain: PlainCall = { service, call, isIdempotent: callSpec.idempotent, priority: callSpec.priority }
   const request = toRequest(ctx, exchange, account, plain, body)
   const answer = plain.isIdempotent
@@ -44,7 +44,7 @@
   exchange.res.end(answer.body)
 }
 
-function toRequest (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account, plain: PlainCall, body: Buffer): placing.PlacingRequest {
+function toRequest (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account, plain: PlainCall, body: Buffer): placement.PlacementRequest {
   const { rank, patienceMs } = ctx.toUrgency(exchange, account, plain.priority)
   const idempotencyKey = helpers.toHeader(exchange.req, contracts.HEADERS.idempotencyKey)
   const contentType = helpers.toHeader(exchange.req, 'content-type')
@@ -62,8 +62,8 @@
     patienceUntil: performance.now() + patienceMs,
     model: undefined,
     toWork: () => ({ kind: 'plain', call: plain.call, method: exchange.req.method ?? 'POST', idempotent: plain.isIdempotent, idempotencyKey, contentType }),
-    isRepeatable: plain.isIdempotent,
-    isReturning: false,
+    isIdempotent: plain.isIdempotent,
+    isMultiTurn: false,
     excluded: new Set(),
     isSuspect: false,
     trace: ctx.traces.open(exchange.requestId),
@@ -72,10 +72,10 @@
 }
 
 /** At most once: see the header of this module. */
-async function runOnce (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account, plain: PlainCall, request: placing.PlacingRequest, body: Buffer): Promise<PlainAnswer> {
+async function runOnce (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account, plain: PlainCall, request: placement.PlacementRequest, body: Buffer): Promise<PlainAnswer> {
   const key = helpers.toHeader(exchange.req, contracts.HEADERS.idempotencyKey)
   if (key === undefined) throw new contracts.FailureError({ kind: 'key_required' })
-  const checked = ids.checkKey(key)
+  const checked = ids.checkIdempotencyKey(key)
   if (checked.kind === 'unusable') throw new contracts.FailureError({ kind: 'key_invalid', detail: checked.detail })
   const entry: ledgerClient.LedgerKey = { account: account.id, key, attempt: ids.createAttemptId() }
   const hash = contracts.sha256(Buffer.concat([Buffer.from(`${plain.service}/${plain.call}\n`), body]))
@@ -93,11 +93,11 @@
 }
 
 /** @returns the answer of an earlier attempt, or undefined if this one is the first */
-async function begin (ctx: context.EntryContext, request: placing.PlacingRequest, entry: ledgerClient.LedgerKey, hash: string): Promise<PlainAnswer | undefined> {
+async function begin (ctx: context.EntryContext, request: placement.PlacementRequest, entry: ledgerClient.LedgerKey, hash: string): Promise<PlainAnswer | undefined> {
   const deadline = performance.now() + REPEAT_WAIT_MS
   while (true) {
     const state = await askLedger(ctx, entry, hash)
-    request.trace.note('ledger', state.kind)
+    request.trace.record('ledger', state.kind)
     switch (state.kind) {
       case 'begun': return undefined
       case 'finished':
@@ -123,24 +123,24 @@
   }
 }
 
-async function finish (ctx: context.EntryContext, request: placing.PlacingRequest, entry: ledgerClient.LedgerKey, answer: PlainAnswer): Promise<void> {
-  const { maxAnswerBytes } = ctx.needDocument().ledger
+async function finish (ctx: context.EntryContext, request: placement.PlacementRequest, entry: ledgerClient.LedgerKey, answer: PlainAnswer): Promise<void> {
+  const { maxAnswerBytes } = ctx.requireDocument().ledger
   const isRecorded = await ctx.ledger.finish(entry, answer.body.length <= maxAnswerBytes ? answer : null)
-  request.trace.note('ledger', isRecorded ? 'finished' : 'the answer could not be recorded')
+  request.trace.record('ledger', isRecorded ? 'finished' : 'the answer could not be recorded')
 }
 
-async function runOnEndpoint (ctx: context.EntryContext, request: placing.PlacingRequest, recorded?: ledgerClient.LedgerKey): Promise<PlainAnswer> {
+async function runOnEndpoint (ctx: context.EntryContext, request: placement.PlacementRequest, recorded?: ledgerClient.LedgerKey): Promise<PlainAnswer> {
   let isReached = false
   for (let attemptNo = 1; ; attemptNo++) {
     // Guards against running a call twice: without a committed record a resend could not be told from a new call.
-    ctx.invariants.check('recordBeforeDispatch', request.isRepeatable || recorded !== undefined, () => `${request.requestId} without a record`)
+    ctx.invariants.check('recordBeforeDispatch', request.isIdempotent || recorded !== undefined, () => `${request.requestId} without a record`)
     const placed = await ctx.placer.place(request)
     if (placed.kind === 'failed') throw new contracts.FailureError(isReached ? { kind: 'endpoint_lost', ran: 'unknown', detail: contracts.describe(placed.failure) } : placed.failure)
-    const end = await waitForAnswer(ctx, request, placed).finally(() => { placed.attempt.end() })
+    const end = await waitForAnswer(ctx, request, placed).finally(() => { placed.attempt.close() })
     if (end.kind === 'answer') return end.answer
-    request.trace.note('broke', `${placed.endpoint}: ${end.why}`)
+    request.trace.record('broke', `${placed.endpoint}: ${end.why}`)
     isReached ||= end.ran !== 'no'
-    const isAllowed = attemptNo < MAX_ATTEMPTS && (end.ran === 'no' || (request.isRepeatable && ctx.budget.tryWithdraw()))
+    const isAllowed = attemptNo < MAX_ATTEMPTS && (end.ran === 'no' || (request.isIdempotent && ctx.budget.tryWithdraw()))
     if (!isAllowed) throw new contracts.FailureError({ kind: 'endpoint_lost', ran: isReached ? 'unknown' : 'no', detail: end.why })
     request.excluded.add(placed.endpoint)
   }
@@ -148,7 +148,7 @@
 
 type PlainEnd = { kind: 'answer', answer: PlainAnswer } | { kind: 'broke', why: string, ran: contracts.Ran }
 
-async function waitForAnswer (ctx: context.EntryContext, request: placing.PlacingRequest, placed: placing.Placed): Promise<PlainEnd> {
+async function waitForAnswer (ctx: context.EntryContext, request: placement.PlacementRequest, placed: placement.Placed): Promise<PlainEnd> {
   while (true) {
     const event = await placed.attempt.next()
     switch (event.t) {
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -12,7 +12,7 @@
 import * as ledgerClient from './ledgerClient.js'
 import * as owners from './owner.js'
 import * as ownerTasks from './ownerTasks.js'
-import * as placing from './placing.js'
+import * as placement from './placement.js'
 import * as servers from './server.js'
 import * as traces from './traces.js'
 
@@ -35,7 +35,7 @@
   ledgerGroups: number
   maxBodyBytes: number
   policy: routing.PlacementPolicy
-  isImporting: boolean
+  isKvImportEnabled: boolean
   log: telemetry.Log
   /** Whether a broken invariant ends the process. */
   isFatal: boolean
@@ -131,10 +131,10 @@
     collectDemand: limits.collectDemand
   })
   const gossip = membership.createGossip({ table, peers: others, call: callPeer, random })
-  const owner: owners.Owner = owners.createOwner({ member, table, gossip, suspects, log, metrics, invariants, policy: opts.policy, isImporting: opts.isImporting, spreadSuspects })
-  const openAttempts = attempts.createAttempts({ selfId: opts.id, peers, dispatchHere: owner.dispatch, cancelHere: owner.cancel, notePlaceHere: owner.notePlace })
+  const owner: owners.Owner = owners.createOwner({ member, table, gossip, suspects, log, metrics, invariants, policy: opts.policy, isKvImportEnabled: opts.isKvImportEnabled, broadcastSuspects: spreadSuspects })
+  const openAttempts = attempts.createAttempts({ selfId: opts.id, peers, dispatchLocally: owner.dispatch, cancelLocally: owner.cancel, recordChatLocationLocally: owner.recordChatLocation })
   const otherAddresses = (): string[] => others().filter(item => !item.leaving).map(item => item.url)
-  const placer = placing.createPlacer({ member, table, attempts: openAttempts, suspects, policy: opts.policy, random, otherAddresses })
+  const placer = placement.createPlacer({ member, table, attempts: openAttempts, suspects, policy: opts.policy, random, otherAddresses })
 
   const ctx: context.EntryContext = {
     member,
@@ -147,16 +147,16 @@
     metrics,
     invariants,
     maxBodyBytes: opts.maxBodyBytes,
-    needDocument: () => {
+    requireDocument: () => {
       const doc = member.document()
       if (doc === null) throw new contracts.FailureError({ kind: 'not_serving', detail: 'it has not got the configuration yet', addresses: otherAddresses(), retryAfterMs: 1000 })
       return doc
     },
-    checkLimit: account => {
+    enforceRateLimit: account => {
       const waitMs = limits.take(account.id, account.spec, member.accountShare(account.id))
       if (waitMs > 0) throw new contracts.FailureError({ kind: 'account_limit', retryAfterMs: waitMs })
     },
-    toUrgency: (exchange, account, priority) => toUrgency(ctx.needDocument(), exchange, account, priority),
+    toUrgency: (exchange, account, priority) => toUrgency(ctx.requireDocument(), exchange, account, priority),
     watchCaller
   }
   const handle = servers.createHandler({ ctx, auth: auths.createAuth(() => member.document()), log, table, owner, explain: async requestId => await explain(requestId) })
@@ -169,10 +169,10 @@
     if (msg === undefined) return
     switch (msg.t) {
       case 'dispatch': owner.dispatch(msg, { send: event => { link.send(event) }, isOpen: link.isOpen, drained: link.drained }); break
-      case 'placed': owner.notePlace(msg.chat, msg.home, msg.endpoint); break
-      case 'handover': owner.takeAnnouncement(msg.announcement, msg.inFlight); break
+      case 'placed': owner.recordChatLocation(msg.chat, msg.home, msg.endpoint); break
+      case 'handover': owner.receiveAnnouncement(msg.announcement, msg.inFlight); break
       case 'suspects': suspects.merge(msg.list); break
-      default: openAttempts.take(msg)
+      default: openAttempts.deliver(msg)
     }
   }
 
@@ -188,7 +188,7 @@
     }
   }
 
-  const explain = async (requestId: string): Promise<traces.Step[] | undefined> => {
+  const explain = async (requestId: string): Promise<traces.TraceStep[] | undefined> => {
     const here = requestTraces.find(requestId)
     if (here !== undefined) return here
     const peer = others().find(item => item.id === ids.toEntryInstance(requestId))
--- a/packages/router/src/server.ts
+++ b/packages/router/src/server.ts
@@ -24,7 +24,7 @@
   table: membership.EndpointTable
   log: telemetry.Log
   /** Asks the instance that a request entered at for its trace. */
-  explain (requestId: string): Promise<traces.Step[] | undefined>
+  explain (requestId: string): Promise<traces.TraceStep[] | undefined>
 }
 
 /** The running server. */
@@ -32,7 +32,7 @@
   /** The port it listens on. */
   readonly port: number
   /** @returns requests being served */
-  open (): number
+  openRequests (): number
   /** Stops taking connections and resolves when the last request has its answer. */
   close (): Promise<void>
 }
@@ -68,7 +68,7 @@
   })
   return {
     port: (server.address() as net.AddressInfo).port,
-    open: () => open,
+    openRequests: () => open,
     close: async () => {
       isClosing = true
       const closed = new Promise<void>(resolve => { server.close(() => { resolve() }) })
@@ -122,19 +122,19 @@
   switch (what) {
     case 'chat':
       if (req.method !== 'POST' || first !== 'completions' || parts.length !== 3) throw notFound(exchange)
-      ctx.needDocument()
-      await chatEntry.serveChat(ctx, exchange, auth.toAccount(req))
+      ctx.requireDocument()
+      await chatEntry.serveChat(ctx, exchange, auth.authenticateAccount(req))
       return
     case 'services':
       if (parts.length !== 4) throw notFound(exchange)
-      ctx.needDocument()
-      await plainEntry.servePlain(ctx, exchange, auth.toAccount(req), first, second)
+      ctx.requireDocument()
+      await plainEntry.servePlain(ctx, exchange, auth.authenticateAccount(req), first, second)
       return
     case 'models': sendModels(opts, exchange); return
     case 'addresses': sendAddresses(opts, exchange); return
     case 'announcements': await takeAnnouncement(opts, exchange); return
     case 'explain':
-      auth.toOperator(req)
+      auth.authenticateOperator(req)
       await sendTrace(opts, exchange, decodeURIComponent(first ?? ''))
       return
     default: throw notFound(exchange)
@@ -169,19 +169,19 @@
 }
 
 function sendModels (opts: HandlerOptions, exchange: helpers.Exchange): void {
-  const account = opts.auth.toAccount(exchange.req)
-  const models = Object.entries(opts.ctx.needDocument().models).filter(([, model]) => account.spec.services.includes(model.service))
+  const account = opts.auth.authenticateAccount(exchange.req)
+  const models = Object.entries(opts.ctx.requireDocument().models).filter(([, model]) => account.spec.services.includes(model.service))
   helpers.sendJson(exchange, 200, { object: 'list', data: models.map(([id]) => ({ id, object: 'model', created: 0, owned_by: 'kingcupdeck' })) })
 }
 
 function sendAddresses (opts: HandlerOptions, exchange: helpers.Exchange): void {
   const { ctx, auth, table } = opts
-  const account = auth.toAccount(exchange.req)
+  const account = auth.authenticateAccount(exchange.req)
   const query = exchange.url.searchParams
   const model = query.get('model') ?? ''
   const chat = query.get('chat')
   const chatKey = chat === null ? undefined : chatRequest.toNamedChatKey(account.id, model, chat)
-  const home = chatKey === undefined ? undefined : addresses.findHomeOwner(ctx.member.views, table, ctx.needDocument(), model, chatKey)
+  const home = chatKey === undefined ? undefined : addresses.findHomeOwner(ctx.member.views, table, ctx.requireDocument(), model, chatKey)
   const list = addresses.toAddressList(ctx.member.views, { seed: chatKey ?? exchange.requestId, zone: query.get('zone') ?? undefined, home })
   helpers.sendJson(exchange, 200, list, { 'cache-control': `max-age=${list.maxAgeSeconds}` })
 }
@@ -196,16 +196,16 @@
   const parsed = contracts.announcement.safeParse(helpers.parseJson(await helpers.readBody(exchange.req, MAX_ANNOUNCEMENT_BYTES)))
   if (!parsed.success) throw new contracts.FailureError({ kind: 'bad_request', detail: parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; ') })
   const announcement = parsed.data
-  ctx.needDocument()
+  ctx.requireDocument()
   try {
-    auth.checkEndpoint(exchange.req, announcement.service)
+    auth.authenticateEndpoint(exchange.req, announcement.service)
   } catch (err) {
     opts.log.event('announcementRefused', { endpoint: announcement.endpoint, service: announcement.service })
     throw err
   }
   const place = { id: announcement.endpoint, zone: announcement.zone }
   const next = ctx.member.views.ownerOf(place)
-  const intervalMs = next?.id === ctx.member.self().id ? owner.takeAnnouncement(announcement, 0) : contracts.ANNOUNCE_INTERVAL_MS
+  const intervalMs = next?.id === ctx.member.self().id ? owner.receiveAnnouncement(announcement, 0) : contracts.ANNOUNCE_INTERVAL_MS
   const reply: contracts.AnnouncementReply = { owner: next?.url ?? null, intervalMs: Math.round(intervalMs) }
   helpers.sendJson(exchange, 200, reply)
 }
--- a/packages/router/src/session.ts
+++ b/packages/router/src/session.ts
@@ -22,7 +22,7 @@
   /** Sends an event to the entry instance, and keeps it. */
   emit (event: contracts.PeerEvent): void
   /** Takes a new way to the entry instance; sends again what comes after chunk `from`. */
-  attach (sink: attempts.Sink, from: number): void
+  attach (sink: attempts.EventSink, from: number): void
   /** Whether the entry instance can still be reached. */
   isAttached (): boolean
   drained (): Promise<void>
@@ -40,7 +40,7 @@
  * @param first where its events go
  * @returns the session, not admitted yet
  */
-export function createSession (msg: contracts.Dispatch, first: attempts.Sink): Session {
+export function createSession (msg: contracts.Dispatch, first: attempts.EventSink): Session {
   let sink = first
   const kept: contracts.PeerEvent[] = []
   return {
--- a/packages/trials/src/localFleet.ts
+++ b/packages/trials/src/localFleet.ts
@@ -86,7 +86,7 @@
     const between = opts.isRelayed === true ? await relay.startRelay('127.0.0.1', peerPort) : undefined
     if (between !== undefined) relays.push(between)
     routers.push(await router.createRouter({
-      ...common, id: `r${i + 1}`, zone: toZone(i), boot: crypto.randomUUID(), listen: '127.0.0.1:0', peerListen: `127.0.0.1:${peerPort}`, advertisePeer: between?.address, maxBodyBytes: 100_000, policy: opts.policy ?? 'owner', isImporting: opts.isImporting ?? true, random: opts.random, log: toLog(`r${i + 1}`)
+      ...common, id: `r${i + 1}`, zone: toZone(i), boot: crypto.randomUUID(), listen: '127.0.0.1:0', peerListen: `127.0.0.1:${peerPort}`, advertisePeer: between?.address, maxBodyBytes: 100_000, policy: opts.policy ?? 'owner', isKvImportEnabled: opts.isImporting ?? true, random: opts.random, log: toLog(`r${i + 1}`)
     }))
   }
 
