--- a/packages/forwarding/__tests__/chooseEndpoint.test.ts
+++ b/packages/forwarding/__tests__/chooseEndpoint.test.ts
@@ -5,7 +5,7 @@
 const test = ava.default
 
 function toCandidate (id: string, change: Partial<chooseEndpoints.Candidate> = {}): chooseEndpoints.Candidate {
-  return { id, zone: 'a', load: 0, own: 0, slots: 128, isCold: false, delayMs: 0, room: 100, ageMs: Infinity, ...change }
+  return { id, zone: 'a', load: 0, ownInFlight: 0, slots: 128, isCold: false, delayMs: 0, freeConnections: 100, ageMs: Infinity, ...change }
 }
 
 const EIGHT = Array.from({ length: 8 }, (_, i) => toCandidate(`e${i}`))
@@ -60,7 +60,7 @@
 })
 
 test('no endpoint is chosen beyond its connections', t => {
-  t.is(chooseEndpoints.chooseEndpoint([toCandidate('e', { room: 0 })], { affinity: undefined, zone: 'a', delayLimitMs: 560 }, 0).kind, 'none')
+  t.is(chooseEndpoints.chooseEndpoint([toCandidate('e', { freeConnections: 0 })], { affinity: undefined, zone: 'a', delayLimitMs: 560 }, 0).kind, 'none')
 })
 
 // A runner leaves, and the prompts that it holds are read again elsewhere: ten thousand tokens for each of its subjects,
@@ -68,9 +68,9 @@
 test('what an endpoint that leaves holds is copied by those that take over', t => {
   for (const item of SUBJECTS) {
     const home = homeOf(EIGHT, item) as string
-    t.is(chooseEndpoints.chooseSource(EIGHT, item, home), undefined, 'nothing is copied while all is as it was')
+    t.is(chooseEndpoints.chooseCacheSource(EIGHT, item, home), undefined, 'nothing is copied while all is as it was')
     const others = EIGHT.filter(other => other.id !== home)
-    t.is(chooseEndpoints.chooseSource(EIGHT, item, homeOf(others, item) as string), home)
+    t.is(chooseEndpoints.chooseCacheSource(EIGHT, item, homeOf(others, item) as string), home)
   }
 })
 
@@ -78,7 +78,7 @@
   const joined = [...EIGHT, toCandidate('n1', { ageMs: 20_000 })]
   const taken = SUBJECTS.filter(item => homeOf(joined, item) === 'n1')
   t.true(taken.length > 0)
-  for (const item of taken) t.is(chooseEndpoints.chooseSource(joined, item, 'n1'), homeOf(EIGHT, item))
+  for (const item of taken) t.is(chooseEndpoints.chooseCacheSource(joined, item, 'n1'), homeOf(EIGHT, item))
 })
 
 // An endpoint reads many prompts, and a request would begin there a second late. Sent there it is late for sure; sent to any
--- a/packages/forwarding/__tests__/nextDocument.test.ts
+++ b/packages/forwarding/__tests__/documentWaiters.test.ts
@@ -1,7 +1,7 @@
 /** Requests that come before an instance has its first document. */
 import * as ava from 'ava'
 import * as timers from 'node:timers/promises'
-import * as nextDocuments from '../src/nextDocument.js'
+import * as documentWaiters from '../src/documentWaiters.js'
 import * as retryAfters from '../src/retryAfter.js'
 import * as testEntries from './helpers/testEntry.js'
 
@@ -14,7 +14,7 @@
   let atMs = arrivesAtMs
   for (let attempt = 0; attempt < 2; attempt++) {
     const leftMs = clientMs - (atMs - arrivesAtMs)
-    const heldUntilMs = atMs + nextDocuments.toHoldMs(leftMs, 0)
+    const heldUntilMs = atMs + documentWaiters.toDocumentWaitMs(leftMs, 0)
     if (documentAtMs <= heldUntilMs) return { isServed: true, afterMs: Math.max(atMs, documentAtMs) - arrivesAtMs }
     const pauseMs = retryAfters.toRetryAfterMs({ kind: 'starting', uptimeMs: heldUntilMs }, draw)
     atMs = heldUntilMs + Math.min(pauseMs, HONOURED_SHARE * (clientMs - (heldUntilMs - arrivesAtMs)))
@@ -42,9 +42,9 @@
 })
 
 test('a caller is held for a part of its time only, and not beyond what an instance can hold', t => {
-  t.is(nextDocuments.toHoldMs(600, 0), 150)
-  t.is(nextDocuments.toHoldMs(15_000, 0), 1500)
-  t.is(nextDocuments.toHoldMs(15_000, 512), 0)
+  t.is(documentWaiters.toDocumentWaitMs(600, 0), 150)
+  t.is(documentWaiters.toDocumentWaitMs(15_000, 0), 1500)
+  t.is(documentWaiters.toDocumentWaitMs(15_000, 512), 0)
 })
 
 test('a request that came before the document is answered once it is there', async t => {
--- a/packages/forwarding/__tests__/endpointPool.test.ts
+++ b/packages/forwarding/__tests__/endpointPool.test.ts
@@ -14,7 +14,7 @@
   const log = telemetry.createLog({ instance: 'test', level: 'silent' })
   let currentAt = 0
   let currentSince = -Infinity
-  const pool = endpointPools.createEndpointPool({ table, currentAt: () => currentAt, currentSince: () => currentSince, silentMs: SILENT_MS, log })
+  const pool = endpointPools.createEndpointPool({ table, currentAt: () => currentAt, currentSince: () => currentSince, unresponsiveMs: SILENT_MS, log })
   return {
     pool,
     take (change, at = 0) {
@@ -77,11 +77,11 @@
   take({ id: 'e1' })
   take({ id: 'e2', address: '10.0.0.2:80' })
   const endpoint = pool.get('e1') as endpointPools.Endpoint
-  for (let i = 0; i < 12; i++) pool.noteUnreachable(endpoint, 100 + i, 'no connection')
+  for (let i = 0; i < 12; i++) pool.markUnreachable(endpoint, 100 + i, 'no connection')
   t.is(endpoint.failures, 1)
   t.deepEqual(usable(200), ['e2'])
   t.deepEqual(usable(400), ['e1', 'e2'])
-  pool.noteUnreachable(endpoint, 400, 'no connection')
+  pool.markUnreachable(endpoint, 400, 'no connection')
   t.is(endpoint.failures, 2)
 })
 
--- a/packages/forwarding/__tests__/eventJoiner.test.ts
+++ b/packages/forwarding/__tests__/eventBatcher.test.ts
@@ -1,6 +1,6 @@
 /** Events that are joined on their way to the client. */
 import * as ava from 'ava'
-import * as eventJoiners from '../src/eventJoiner.js'
+import * as eventBatchers from '../src/eventBatcher.js'
 
 const test = ava.default
 
@@ -9,7 +9,7 @@
   const writes: Array<{ at: number, text: string }> = []
   const timers: Array<{ at: number, run: () => void }> = []
   let now = 0
-  const joiner = eventJoiners.createEventJoiner({
+  const joiner = eventBatchers.createEventBatcher({
     write: bytes => { writes.push({ at: now, text: bytes.toString() }) },
     schedule (run, ms) {
       const timer = { at: now + ms, run }
@@ -45,6 +45,6 @@
 test('no event waits longer than the bound', t => {
   for (const { at, text } of play(50, 17)) {
     const oldest = Number(text.split(' ')[0]) * 17
-    t.true(at - oldest <= eventJoiners.JOIN_MS)
+    t.true(at - oldest <= eventBatchers.BATCH_WINDOW_MS)
   }
 })
--- a/packages/forwarding/__tests__/helpers/engineModel.ts
+++ b/packages/forwarding/__tests__/helpers/engineModel.ts
@@ -3,7 +3,7 @@
  * runs and reads a chunk of the prompts that wait, in the order in which they came; a prompt's shared part is read once.
  */
 import * as chooseEndpoints from '../../src/chooseEndpoint.js'
-import * as endpointDelays from '../../src/endpointDelay.js'
+import * as queueDelays from '../../src/queueDelay.js'
 import * as retryAfters from '../../src/retryAfter.js'
 import * as helper from './random.js'
 
@@ -25,7 +25,7 @@
 export interface Served { asked: number, inTime: number, late: number, refused: number, failed: number, readAgain: number, credit: number, owed: number, firstMs: number[] }
 
 interface Req { kind: RequestKind, prompt: string, instance: number, arrivedAt: number, returns: number, attempts: number }
-interface Work { req: Req, engine: number, sentAt: number, wait: endpointDelays.Wait, toRead: number, left: number, isAnswered: boolean, isOver: boolean }
+interface Work { req: Req, engine: number, sentAt: number, wait: queueDelays.PendingRequest, toRead: number, left: number, isAnswered: boolean, isOver: boolean }
 interface Engine { queue: Work[], running: Work[], cache: Set<string>, busyUntil: number, isLost: boolean }
 
 const ENGINES = 8
@@ -52,7 +52,7 @@
 export function play (load: Load, policy: Policy, seed: number): Served {
   const random = helper.createRandom(seed)
   const engines: Engine[] = Array.from({ length: ENGINES }, () => ({ queue: [], running: [], cache: new Set(), busyUntil: 0, isLost: false }))
-  const meters = engines.map(() => Array.from({ length: INSTANCES }, () => endpointDelays.createDelayMeter()))
+  const meters = engines.map(() => Array.from({ length: INSTANCES }, () => queueDelays.createQueueDelayEstimator()))
   const own = engines.map(() => new Array<number>(INSTANCES).fill(0))
   let told = own.map(item => [...item])
   const returning: Array<{ at: number, req: Req }> = []
@@ -64,16 +64,16 @@
     work.isOver = true
     waiting.delete(work)
     own[work.engine][work.req.instance]--
-    if (!work.isAnswered) meters[work.engine][work.req.instance].left(work.wait)
+    if (!work.isAnswered) meters[work.engine][work.req.instance].onAbandoned(work.wait)
   }
 
   const send = (req: Req, tried: number, now: number): void => {
     const candidates = engines.map((engine, i): chooseEndpoints.Candidate => {
       const mine = own[i][req.instance]
       const others = told[i].reduce((sum, load, k) => k === req.instance ? sum : sum + load, 0)
-      return { id: String(i), zone: 'z', load: mine + others, own: mine, slots: SLOTS, isCold: false, delayMs: meters[i][req.instance].expectedMs(now) ?? 0, room: 100, ageMs: Infinity }
+      return { id: String(i), zone: 'z', load: mine + others, ownInFlight: mine, slots: SLOTS, isCold: false, delayMs: meters[i][req.instance].estimateMs(now) ?? 0, freeConnections: 100, ageMs: Infinity }
     }).filter((item, i) => !engines[i].isLost && i !== tried)
-    const delayLimitMs = policy.isBounded ? endpointDelays.toDelayLimitMs(req.kind.targetMs) : Infinity
+    const delayLimitMs = policy.isBounded ? queueDelays.toDelayLimitMs(req.kind.targetMs) : Infinity
     const choice = chooseEndpoints.chooseEndpoint(candidates, { affinity: req.prompt, zone: 'z', delayLimitMs }, random())
     switch (choice.kind) {
       case 'none':
@@ -87,7 +87,7 @@
         const i = Number(choice.id)
         own[i][req.instance]++
         req.attempts++
-        const wait = meters[i][req.instance].begin(now)
+        const wait = meters[i][req.instance].onSent(now)
         const work: Work = { req, engine: i, sentAt: now, wait, toRead: -1, left: req.kind.outTokens, isAnswered: false, isOver: false }
         engines[i].queue.push(work)
         waiting.add(work)
@@ -132,7 +132,7 @@
       if (!work.isAnswered) {
         work.isAnswered = true
         waiting.delete(work)
-        meters[work.engine][work.req.instance].answered(work.wait, engine.busyUntil)
+        meters[work.engine][work.req.instance].onResponse(work.wait, engine.busyUntil)
         const firstMs = engine.busyUntil - work.req.arrivedAt
         served.firstMs.push(firstMs)
         const isLate = firstMs > work.req.kind.targetMs
--- a/packages/forwarding/__tests__/helpers/testEntry.ts
+++ b/packages/forwarding/__tests__/helpers/testEntry.ts
@@ -3,15 +3,15 @@
 import * as net from 'node:net'
 import * as discovery from '@kingcupdeck/discovery'
 import * as telemetry from '@kingcupdeck/telemetry'
-import * as crashSuspects from '../../src/crashSuspects.js'
-import * as endpointOutcomes from '../../src/endpointOutcome.js'
+import * as crashQuarantines from '../../src/crashQuarantine.js'
+import * as outlierDetectors from '../../src/outlierDetector.js'
 import * as endpointPools from '../../src/endpointPool.js'
 import * as entryContexts from '../../src/entryContext.js'
 import * as entryMetrics from '../../src/entryMetrics.js'
 import * as entryServers from '../../src/entryServer.js'
-import * as nextDocuments from '../../src/nextDocument.js'
+import * as documentWaiters from '../../src/documentWaiters.js'
 import type * as headerNames from '../../src/headerNames.js'
-import * as retryWindows from '../../src/retryWindow.js'
+import * as retryBudgets from '../../src/retryBudget.js'
 import * as routeTables from '../../src/routeTable.js'
 
 /** Header names of the tests. */
@@ -111,8 +111,8 @@
 export interface TestEntry {
   address: string
   pool: endpointPools.EndpointPool
-  suspects: crashSuspects.CrashSuspects
-  outcomes: endpointOutcomes.EndpointOutcomes
+  suspects: crashQuarantines.CrashQuarantine
+  outcomes: outlierDetectors.OutlierDetector
   server: entryServers.EntryServer
   /** Lines of the log as events with their fields. */
   lines: Array<{ event: string } & { [field: string]: unknown }>
@@ -135,32 +135,32 @@
   const log = telemetry.createLog({ instance: 'test', json: true, write: line => { lines.push(JSON.parse(line)) } })
   const table = discovery.createRecordTable()
   const now = (): number => performance.now()
-  const pool = endpointPools.createEndpointPool({ table, currentAt: now, currentSince: () => -Infinity, silentMs: 60_000, log })
-  const suspects = crashSuspects.createCrashSuspects()
-  const outcomes = endpointOutcomes.createEndpointOutcomes()
+  const pool = endpointPools.createEndpointPool({ table, currentAt: now, currentSince: () => -Infinity, unresponsiveMs: 60_000, log })
+  const suspects = crashQuarantines.createCrashQuarantine()
+  const outcomes = outlierDetectors.createOutlierDetector()
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 100_000, headerTimeoutMs: 1000, idleTimeoutMs: 5000, ...opts.limits }
   const document = routeTables.compileTable({ version: 1, routes, services: [{ name: 'svc', maxConnections: 100, canFetch: true }], accounts: opts.accounts ?? null, limits })
   let isStopping = false
   let mayTake = true
   let hasDocument = opts.isLate !== true
-  const nextDocument = nextDocuments.createNextDocument()
-  const windows = retryWindows.createRetryWindow({ ratio: 0.2, windowMs: 10_000, slack: opts.retrySlack ?? 100 })
+  const nextDocument = documentWaiters.createDocumentWaiters()
+  const windows = retryBudgets.createRetryBudget({ ratio: 0.2, windowMs: 10_000, slack: opts.retrySlack ?? 100 })
   const ctx: entryContexts.EntryContext = {
     names: NAMES,
     zone: 'z1',
     pool,
-    suspects,
-    outcomes,
-    exchange: { onNews: () => {}, tellCrashes: () => {}, instances: () => 1, stop: () => {} },
+    quarantine: suspects,
+    outliers: outcomes,
+    gossip: { onUpdate: () => {}, sendCrashReports: () => {}, instanceCount: () => 1, stop: () => {} },
     metrics: entryMetrics.createEntryMetrics(),
     log,
     table: () => hasDocument ? document : undefined,
-    nextDocument,
+    documentWaiters: nextDocument,
     isLatestDocument: () => true,
     newestDocument: () => 1,
-    retryWindow: () => windows,
-    isStopping: () => isStopping,
-    mayTake: () => mayTake,
+    retryBudget: () => windows,
+    isDraining: () => isStopping,
+    isAccepted: () => mayTake,
     now
   }
   const server = await entryServers.startEntryServer({ front: '127.0.0.1:0', ctx })
@@ -197,7 +197,7 @@
     },
     arrive () {
       hasDocument = true
-      nextDocument.arrive()
+      nextDocument.releaseAll()
     },
     stop (takes) {
       isStopping = true
--- a/packages/forwarding/__tests__/endpointOutcome.test.ts
+++ b/packages/forwarding/__tests__/outlierDetector.test.ts
@@ -1,7 +1,7 @@
 /** Endpoints that answer worse than the others, replayed on the load of a small service and of a large one. */
 import * as ava from 'ava'
 import * as helper from './helpers/random.js'
-import * as endpointOutcomes from '../src/endpointOutcome.js'
+import * as outlierDetectors from '../src/outlierDetector.js'
 
 const test = ava.default
 
@@ -14,19 +14,19 @@
 function replay (opts: { endpoints: number, bad: number, badShare: number, instances: number, perSecond: number, isSettingAside: boolean, baseShare?: number }, seed = 7): Replay {
   const random = helper.createRandom(seed)
   const ids = Array.from({ length: opts.endpoints }, (_, i) => `e${i}`)
-  const instances = Array.from({ length: opts.instances }, () => endpointOutcomes.createEndpointOutcomes())
+  const instances = Array.from({ length: opts.instances }, () => outlierDetectors.createOutlierDetector())
   const judged = ids.map(id => ({ id, load: 0.5, slots: 6 }))
   const result: Replay = { failed: 0, requests: 0, mostAside: 0, asideAtEnd: 0 }
   const stepMs = 1000 / opts.perSecond
   let toldAt = 0
   for (let now = 0; now < 20_000; now += stepMs) {
     const instance = instances[Math.floor(random() * instances.length)]
-    const worse = opts.isSettingAside ? instance.findWorse('s', judged, now) : new Set<string>()
+    const worse = opts.isSettingAside ? instance.findOutliers('s', judged, now) : new Set<string>()
     const usable = ids.filter(id => !worse.has(id))
     const id = usable[Math.floor(random() * usable.length)]
     const isBad = now >= 4000 && now < 10_000 && ids.indexOf(id) < opts.bad
     const isFailed = random() < (isBad ? opts.badShare : opts.baseShare ?? 0.1)
-    instance.note(id, isFailed, now)
+    instance.record(id, isFailed, now)
     result.requests++
     if (isFailed && now >= 4000 && now < 10_000) result.failed++
     result.mostAside = Math.max(result.mostAside, worse.size)
@@ -34,8 +34,8 @@
     if (now - toldAt < 200) continue
     toldAt = now
     for (const [i, from] of instances.entries()) {
-      const news = from.takeNews(now)
-      for (const [j, to] of instances.entries()) if (i !== j) to.learn(news, now)
+      const news = from.takeDeltas(now)
+      for (const [j, to] of instances.entries()) if (i !== j) to.merge(news, now)
     }
   }
   return result
@@ -76,27 +76,27 @@
 })
 
 test('no endpoint is set aside whose work the others have no places for', t => {
-  const outcomes = endpointOutcomes.createEndpointOutcomes()
+  const outcomes = outlierDetectors.createOutlierDetector()
   const endpoints = ['e1', 'e2', 'e3'].map(id => ({ id, load: 2, slots: 6 }))
-  for (let i = 0; i < 30; i++) for (const { id } of endpoints) outcomes.note(id, id === 'e1', 0)
-  t.deepEqual([...outcomes.findWorse('s', endpoints, 0)], ['e1'])
-  t.deepEqual([...outcomes.findWorse('s', endpoints.map(item => ({ ...item, load: 4 })), 0)], [])
+  for (let i = 0; i < 30; i++) for (const { id } of endpoints) outcomes.record(id, id === 'e1', 0)
+  t.deepEqual([...outcomes.findOutliers('s', endpoints, 0)], ['e1'])
+  t.deepEqual([...outcomes.findOutliers('s', endpoints.map(item => ({ ...item, load: 4 })), 0)], [])
 })
 
 // An endpoint fails only for callers of one availability zone: to the others it is sound, and their answers outnumber those.
 test('what an instance sees itself counts before what the others tell', t => {
-  const outcomes = endpointOutcomes.createEndpointOutcomes()
+  const outcomes = outlierDetectors.createOutlierDetector()
   const endpoints = ['e1', 'e2', 'e3'].map(id => ({ id, load: 1, slots: 6 }))
-  outcomes.learn([['e1', 60, 3], ['e2', 60, 3], ['e3', 60, 3]], 0)
-  for (let i = 0; i < 12; i++) for (const { id } of endpoints) outcomes.note(id, id === 'e1' && i % 2 === 0, 0)
-  t.deepEqual([...outcomes.findWorse('s', endpoints, 0)], ['e1'])
+  outcomes.merge([['e1', 60, 3], ['e2', 60, 3], ['e3', 60, 3]], 0)
+  for (let i = 0; i < 12; i++) for (const { id } of endpoints) outcomes.record(id, id === 'e1' && i % 2 === 0, 0)
+  t.deepEqual([...outcomes.findOutliers('s', endpoints, 0)], ['e1'])
 })
 
 // Thousands of endpoints are replaced each day, each under a new id: what was seen of them must not be kept for good.
 test('endpoints that are gone are forgotten', t => {
-  const outcomes = endpointOutcomes.createEndpointOutcomes()
-  for (let i = 0; i < 1000; i++) outcomes.note(`e${i}`, true, i)
+  const outcomes = outlierDetectors.createOutlierDetector()
+  for (let i = 0; i < 1000; i++) outcomes.record(`e${i}`, true, i)
   t.true(outcomes.size() >= 1000)
-  outcomes.takeNews(1_000_000)
+  outcomes.takeDeltas(1_000_000)
   t.is(outcomes.size(), 0)
 })
--- a/packages/forwarding/__tests__/spread.test.ts
+++ b/packages/forwarding/__tests__/spread.test.ts
@@ -53,11 +53,11 @@
       id: String(i),
       zone: `z${i % ZONES}`,
       load: own[instance][i] + sumTold[i] - told[instance][i],
-      own: own[instance][i],
+      ownInFlight: own[instance][i],
       slots: load.slots,
       isCold: false,
       delayMs: 0,
-      room: 100,
+      freeConnections: 100,
       ageMs: Infinity
     }))
     const chosen = Number(choose(candidates, `z${instance % ZONES}`, random()))
--- a/packages/forwarding/__tests__/streams.test.ts
+++ b/packages/forwarding/__tests__/streams.test.ts
@@ -194,5 +194,5 @@
   entry.announce(second)
   t.false((await answer).isWhole)
   t.is(second.seen.length, 1)
-  t.deepEqual(entry.outcomes.takeNews(performance.now()).find(item => item[0] === 'e2'), ['e2', 1, 1])
+  t.deepEqual(entry.outcomes.takeDeltas(performance.now()).find(item => item[0] === 'e2'), ['e2', 1, 1])
 })
--- a/packages/forwarding/src/breakOff.ts
+++ b/packages/forwarding/src/abortResponse.ts
@@ -9,7 +9,7 @@
  * the caller has not read yet, are dropped with a connection that is destroyed at once.
  * @param res the answer, whose head is out
  */
-export function breakOff (res: http.ServerResponse): void {
+export function abortResponse (res: http.ServerResponse): void {
   const { socket } = res
   if (socket === null || socket.destroyed) return
   // Without chunks the end of the connection is the end of the body: only a reset shows that the answer is not whole.
--- a/packages/forwarding/src/admission.ts
+++ b/packages/forwarding/src/admission.ts
@@ -9,12 +9,12 @@
   url: string
   host: string | undefined
   /** Names and values by turns. */
-  raw: readonly string[]
+  rawHeaders: readonly string[]
 }
 
 /** What came of looking at a head. */
 export type Admission =
-  | { kind: 'admitted', route: routeTables.Route, account: routeTables.ClientAccount | undefined, attemptId: string, clientMs: number | undefined }
+  | { kind: 'admitted', route: routeTables.Route, account: routeTables.ClientAccount | undefined, attemptId: string, clientDeadlineMs: number | undefined }
   | { kind: 'refused', refusal: clientCalls.Refusal }
 
 /**
@@ -22,7 +22,7 @@
  * @param refusal the refusal
  * @returns whether it holds for this document only
  */
-export function isByDocument (refusal: clientCalls.Refusal): boolean {
+export function dependsOnDocument (refusal: clientCalls.Refusal): boolean {
   return refusal.kind === 'rejected' && (refusal.status === 401 || refusal.status === 404)
 }
 
@@ -37,22 +37,22 @@
  */
 export function admit (head: RequestHead, table: routeTables.CompiledTable, names: headerNames.HeaderNames): Admission {
   const reject = (status: 400 | 401 | 404 | 413 | 431, why: string): Admission => ({ kind: 'refused', refusal: { kind: 'rejected', status, why } })
-  const headerBytes = head.raw.reduce((sum, text) => sum + text.length + 2, head.method.length + head.url.length)
+  const headerBytes = head.rawHeaders.reduce((sum, text) => sum + text.length + 2, head.method.length + head.url.length)
   if (headerBytes > table.limits.maxHeaderBytes) return reject(431, `the headers are larger than ${table.limits.maxHeaderBytes} bytes: send fewer or shorter ones`)
   // Guards against a request that two readers would take for different ones: a header that decides may stand only once.
   const once = ['host', names.attemptId, names.deadlineMs, names.key, 'content-length']
   for (const name of once) {
-    if (countHeader(head.raw, name) > 1) return reject(400, `the header ${name} stands more than once: send it once`)
+    if (countHeader(head.rawHeaders, name) > 1) return reject(400, `the header ${name} stands more than once: send it once`)
   }
   if (head.host === undefined || !head.url.startsWith('/')) return reject(400, 'send a Host header and a path that begins with a slash')
   const route = routeTables.findRoute(table, head.host, head.url)
   if (route === undefined) return reject(404, 'no route has this host and path')
-  const attemptId = findHeader(head.raw, names.attemptId)
+  const attemptId = findHeader(head.rawHeaders, names.attemptId)
   if (attemptId === undefined || !ID.test(attemptId)) return reject(400, `send ${names.attemptId} with an id of this attempt`)
-  const key = findHeader(head.raw, names.key)
+  const key = findHeader(head.rawHeaders, names.key)
   const account = key === undefined ? undefined : table.accountOf.get(key)
   if (table.hasAccounts && !route.isKeyless && account === undefined) return reject(401, `send a valid key in ${names.key}`)
-  return { kind: 'admitted', route, account, attemptId, clientMs: toClientMs(head.raw, names) }
+  return { kind: 'admitted', route, account, attemptId, clientDeadlineMs: toClientDeadlineMs(head.rawHeaders, names) }
 }
 
 /**
@@ -61,7 +61,7 @@
  * @param names names of headers
  * @returns milliseconds, or undefined if it does not say
  */
-export function toClientMs (raw: readonly string[], names: headerNames.HeaderNames): number | undefined {
+export function toClientDeadlineMs (raw: readonly string[], names: headerNames.HeaderNames): number | undefined {
   const ms = Number(findHeader(raw, names.deadlineMs))
   return Number.isFinite(ms) && ms > 0 ? ms : undefined
 }
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -6,7 +6,7 @@
 import * as headerNames from './headerNames.js'
 
 /** What is sent. */
-export interface Outgoing {
+export interface OutgoingRequest {
   method: string
   /** Path with query, as the client sent it. */
   url: string
@@ -17,7 +17,7 @@
 }
 
 /** What came of a send. */
-export type Sent =
+export type AttemptResult =
   /** No connection was made: nothing was sent. */
   | { kind: 'unreachable', why: string }
   /** The endpoint says that it did not run the request. */
@@ -28,23 +28,23 @@
   | { kind: 'answer', res: http.IncomingMessage, abort: () => void, /** Whether the connection failed, as with a reset. */ isBroken: () => boolean }
 
 /** What a send needs. */
-export interface SendOptions {
+export interface AttemptOptions {
   endpoint: endpointPools.Endpoint
-  out: Outgoing
+  request: OutgoingRequest
   names: headerNames.HeaderNames
   /** Ends the send, when the client has left or the time is over. */
   signal: AbortSignal
   /** How long to wait for the head of the answer, milliseconds. */
-  answerMs: number
+  responseTimeoutMs: number
   /** Asked when that time is over: whether to wait on for a while. */
-  mayWait?: () => boolean
+  mayKeepWaiting?: () => boolean
 }
 
 /**
  * No connection within this time, in milliseconds: the endpoint is down or cut off; longer than a round trip between
  * availability zones.
  */
-export const CONNECT_MS = 350
+export const CONNECT_TIMEOUT_MS = 350
 
 /** How often an attempt that is over its time asks whether it may wait on. */
 const WAIT_ON_MS = 200
@@ -54,14 +54,14 @@
  * @param opts endpoint, request and limits
  * @returns what is known once the head of the answer is there, or none will come
  */
-export async function sendAttempt (opts: SendOptions): Promise<Sent> {
-  const { endpoint, out } = opts
+export async function sendAttempt (opts: AttemptOptions): Promise<AttemptResult> {
+  const { endpoint, request: out } = opts
   const { host, port } = links.parseAddress(endpoint.record.address)
-  return await new Promise<Sent>(resolve => {
+  return await new Promise<AttemptResult>(resolve => {
     let isConnected = false
     let isSettled = false
     let isBroken = false
-    const settle = (sent: Sent): void => {
+    const settle = (sent: AttemptResult): void => {
       if (isSettled) return
       isSettled = true
       clearTimeout(timer)
@@ -75,7 +75,7 @@
     const onAbort = (): void => { fail(String(opts.signal.reason)) }
     const startedAt = performance.now()
     function onTime (): void {
-      if (opts.mayWait?.() === true) timer = setTimeout(onTime, WAIT_ON_MS)
+      if (opts.mayKeepWaiting?.() === true) timer = setTimeout(onTime, WAIT_ON_MS)
       else fail(`no answer within ${Math.round(performance.now() - startedAt)} ms`)
     }
 
@@ -94,7 +94,7 @@
         isConnected = true
         return
       }
-      const connectTimer = setTimeout(() => { fail(`no connection within ${CONNECT_MS} ms`) }, CONNECT_MS)
+      const connectTimer = setTimeout(() => { fail(`no connection within ${CONNECT_TIMEOUT_MS} ms`) }, CONNECT_TIMEOUT_MS)
       socket.once('connect', () => {
         isConnected = true
         clearTimeout(connectTimer)
@@ -115,7 +115,7 @@
       }
       settle(judge(res, req, opts, () => isBroken))
     })
-    let timer = setTimeout(onTime, opts.answerMs)
+    let timer = setTimeout(onTime, opts.responseTimeoutMs)
     opts.signal.addEventListener('abort', onAbort, { once: true })
     if (opts.signal.aborted) {
       onAbort()
@@ -139,8 +139,8 @@
   return socket.remoteAddress === undefined
 }
 
-function judge (res: http.IncomingMessage, req: http.ClientRequest, opts: SendOptions, isBroken: () => boolean): Sent {
-  const { names, out } = opts
+function judge (res: http.IncomingMessage, req: http.ClientRequest, opts: AttemptOptions, isBroken: () => boolean): AttemptResult {
+  const { names, request: out } = opts
   const discard = (): void => {
     res.resume()
     req.destroy()
@@ -175,7 +175,7 @@
 }
 
 /** What came of reading a body. */
-export type WholeBody = { kind: 'whole', body: Buffer } | { kind: 'broken', why: string }
+export type BodyResult = { kind: 'whole', body: Buffer } | { kind: 'broken', why: string }
 
 /**
  * Tells whether a body that ended came to its end. Guards against an answer without a length that is reset on its way: the
@@ -183,7 +183,7 @@
  * @param answer the answer
  * @returns whether nothing is missing
  */
-export function isComplete (answer: Extract<Sent, { kind: 'answer' }>): boolean {
+export function isComplete (answer: Extract<AttemptResult, { kind: 'answer' }>): boolean {
   return answer.res.complete && !answer.isBroken()
 }
 
@@ -194,12 +194,12 @@
  * @param maxBytes the most that is held
  * @returns the body, or why it is not whole
  */
-export async function readWhole (answer: Extract<Sent, { kind: 'answer' }>, signal: AbortSignal, maxBytes: number): Promise<WholeBody> {
+export async function readBody (answer: Extract<AttemptResult, { kind: 'answer' }>, signal: AbortSignal, maxBytes: number): Promise<BodyResult> {
   const { res } = answer
   return await new Promise(resolve => {
     const chunks: Buffer[] = []
     let bytes = 0
-    const settle = (outcome: WholeBody): void => {
+    const settle = (outcome: BodyResult): void => {
       signal.removeEventListener('abort', onAbort)
       resolve(outcome)
       if (outcome.kind === 'broken') res.destroy()
--- a/packages/forwarding/src/attemptNotes.ts
+++ b/packages/forwarding/src/attemptRecorder.ts
@@ -1,7 +1,7 @@
 /** What an attempt teaches: the log of its request, the endpoint's record, and what crashed or fell silent. */
 import type * as attempts from './attempt.js'
 import * as clientCalls from './clientCall.js'
-import * as courses from './course.js'
+import * as requestStates from './requestState.js'
 import * as endpointPools from './endpointPool.js'
 import * as endpointProbes from './endpointProbe.js'
 
@@ -16,7 +16,7 @@
  * @param sentAt when it was sent
  * @param why why this endpoint was chosen
  */
-export function noteAttempt (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, outcome: string, sentAt: number, why = 'resume'): void {
+export function recordAttempt (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, outcome: string, sentAt: number, why = 'resume'): void {
   call.attempts.push({ endpoint: endpoint.id, why, outcome, ms: Math.round(call.ctx.now() - sentAt) })
   call.ctx.metrics.attempts.inc({ service: call.service, outcome: outcome.split(':')[0] })
 }
@@ -30,32 +30,32 @@
  * @param sent what came of it
  * @param sentAt when it was sent
  */
-export function noteSent (call: clientCalls.ClientCall, course: courses.Course, endpoint: endpointPools.Endpoint, sent: attempts.Sent, sentAt: number): void {
+export function recordResult (call: clientCalls.ClientCall, course: requestStates.RequestState, endpoint: endpointPools.Endpoint, sent: attempts.AttemptResult, sentAt: number): void {
   const { ctx } = call
   switch (sent.kind) {
     case 'unreachable':
-      if (!call.stop.signal.aborted) noteUnreachable(call, endpoint, sent.why)
+      if (!call.aborter.signal.aborted) recordUnreachable(call, endpoint, sent.why)
       break
     case 'notRun':
-      course.offers++
-      ctx.pool.noteReached(endpoint)
-      if (sent.status === 421) ctx.pool.noteMisdirected(endpoint)
-      else noteOutcome(call, endpoint, true)
+      course.sends++
+      ctx.pool.markReachable(endpoint)
+      if (sent.status === 421) ctx.pool.markMisdirected(endpoint)
+      else recordOutcome(call, endpoint, true)
       break
     case 'lost':
-      courses.noteRun(call, course)
+      requestStates.recordRun(call, course)
       noteSilence(call, endpoint, sentAt)
       noteLoss(call, endpoint, course.fingerprint)
       break
     case 'answer':
-      courses.noteRun(call, course)
-      ctx.pool.noteReached(endpoint)
+      requestStates.recordRun(call, course)
+      ctx.pool.markReachable(endpoint)
   }
 }
 
 /** Notes how an attempt went, for the choice of endpoints. */
-export function noteOutcome (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, isMissed: boolean): void {
-  call.ctx.outcomes.note(endpoint.id, isMissed, call.ctx.now())
+export function recordOutcome (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, isMissed: boolean): void {
+  call.ctx.outliers.record(endpoint.id, isMissed, call.ctx.now())
 }
 
 /**
@@ -63,34 +63,34 @@
  * the target, it left because of it.
  */
 function noteSilence (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, sentAt: number): void {
-  const isEarly = call.stop.signal.aborted && call.ctx.now() - sentAt < SILENCE_TARGETS * call.route.targetMs
-  if (!isEarly) noteOutcome(call, endpoint, true)
+  const isEarly = call.aborter.signal.aborted && call.ctx.now() - sentAt < SILENCE_TARGETS * call.route.targetMs
+  if (!isEarly) recordOutcome(call, endpoint, true)
 }
 
 /** Notes that an endpoint could not be reached, and which requests it took down with it. */
-export function noteUnreachable (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, why: string): void {
+export function recordUnreachable (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, why: string): void {
   const { ctx } = call
-  ctx.pool.noteUnreachable(endpoint, ctx.now(), why)
-  const news = ctx.suspects.noteDown(toIncarnation(endpoint), ctx.now())
-  if (news.length > 0) ctx.exchange.tellCrashes(news)
+  ctx.pool.markUnreachable(endpoint, ctx.now(), why)
+  const news = ctx.quarantine.confirmDown(toIncarnation(endpoint), ctx.now())
+  if (news.length > 0) ctx.gossip.sendCrashReports(news)
 }
 
 /** Notes that an answer broke off midway. */
-export function noteBreak (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, fingerprint: string): void {
-  noteOutcome(call, endpoint, true)
+export function recordBrokenResponse (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, fingerprint: string): void {
+  recordOutcome(call, endpoint, true)
   noteLoss(call, endpoint, fingerprint)
 }
 
 /** Notes that an answer was lost. */
 function noteLoss (call: clientCalls.ClientCall, endpoint: endpointPools.Endpoint, fingerprint: string): void {
-  if (call.stop.signal.aborted) return
+  if (call.aborter.signal.aborted) return
   // What broke one connection has likely broken the idle ones beside it.
-  call.ctx.pool.dropIdle(endpoint)
-  call.ctx.suspects.noteLoss(fingerprint, toIncarnation(endpoint), call.ctx.now())
+  call.ctx.pool.closeIdleConnections(endpoint)
+  call.ctx.quarantine.recordLoss(fingerprint, toIncarnation(endpoint), call.ctx.now())
   // Whether the endpoint is down is asked now: after a crash the next request would be the one to find out, and a request
   // that crashes endpoints would not be known for one before others had been sent to each of them.
-  void endpointProbes.isDown(endpoint).then(why => {
-    if (why !== undefined) noteUnreachable(call, endpoint, why)
+  void endpointProbes.probeEndpoint(endpoint).then(why => {
+    if (why !== undefined) recordUnreachable(call, endpoint, why)
   })
 }
 
--- a/packages/forwarding/src/silentAttempt.ts
+++ b/packages/forwarding/src/attemptWatchdog.ts
@@ -15,7 +15,7 @@
  * @param targetMs the route's target, 0 without one
  * @returns milliseconds
  */
-export function toSuspicionMs (targetMs: number): number {
+export function toProbeDelayMs (targetMs: number): number {
   return Math.max(SUSPICION_LEAST_MS, SUSPICION_SHARE * targetMs)
 }
 
@@ -26,10 +26,10 @@
  * @param onDown told if the endpoint is down
  * @returns how to end that, once there is an answer
  */
-export function watchSilence (endpoint: endpointPools.Endpoint, afterMs: number, onDown: (why: string) => void): () => void {
+export function startWatchdog (endpoint: endpointPools.Endpoint, afterMs: number, onDown: (why: string) => void): () => void {
   let isOver = false
   const timer = setTimeout(() => {
-    void endpointProbes.isDown(endpoint).then(why => {
+    void endpointProbes.probeEndpoint(endpoint).then(why => {
       if (why !== undefined && !isOver) onDown(why)
     })
   }, afterMs)
--- a/packages/forwarding/src/chooseEndpoint.ts
+++ b/packages/forwarding/src/chooseEndpoint.ts
@@ -20,20 +20,20 @@
   /** Requests there, of all entry instances as far as known. */
   load: number
   /** Requests of this instance there. */
-  own: number
+  ownInFlight: number
   slots: number
   /** Whether it says that it is still slow after its start. */
   isCold: boolean
   /** How long a request is likely to wait there until its answer begins, milliseconds; 0 where nothing is known. */
   delayMs: number
   /** Connections that this instance may still open there. */
-  room: number
+  freeConnections: number
   /** How long it has been running, milliseconds; Infinity if not known. */
   ageMs: number
 }
 
 /** What the choice depends on beside the candidates. */
-export interface ChoiceRequest {
+export interface ChoiceOptions {
   /** What the request shares with others; absent where nothing is gained by returning to an endpoint. */
   affinity: string | undefined
   /** Availability zone of this instance. */
@@ -71,8 +71,8 @@
  * @param draw a number in [0, 1), to spread requests among equals
  * @returns the endpoint, or why there is none
  */
-export function chooseEndpoint (candidates: readonly Candidate[], req: ChoiceRequest, draw: number): Choice {
-  const open = candidates.filter(item => item.room > 0)
+export function chooseEndpoint (candidates: readonly Candidate[], req: ChoiceOptions, draw: number): Choice {
+  const open = candidates.filter(item => item.freeConnections > 0)
   if (open.length === 0) return { kind: 'none' }
   const mean = numbers.sum(candidates.map(item => item.load)) / candidates.length
   const bound = LOAD_FACTOR * mean + LOAD_ALLOWANCE
@@ -80,7 +80,7 @@
 }
 
 /** An endpoint whose cache may hold what a request shares. */
-export interface Source { id: string, ageMs: number }
+export interface CacheSource { id: string, ageMs: number }
 
 /**
  * Names the endpoint from whose cache the chosen one may copy the shared parts of a prompt.
@@ -92,7 +92,7 @@
  * @param chosen the endpoint that gets the request
  * @returns the id of the most likely holder, or undefined where the chosen one is that itself
  */
-export function chooseSource (sources: readonly Source[], affinity: string, chosen: string): string | undefined {
+export function chooseCacheSource (sources: readonly CacheSource[], affinity: string, chosen: string): string | undefined {
   const [first, second] = rank(sources, affinity)
   if (first === undefined) return undefined
   if (first.id !== chosen) return first.id
@@ -101,7 +101,7 @@
 }
 
 /** @returns the endpoints in the order of a prompt, its home first */
-function rank<T extends Source> (endpoints: readonly T[], affinity: string): T[] {
+function rank<T extends CacheSource> (endpoints: readonly T[], affinity: string): T[] {
   return endpoints
     .map(item => ({ item, score: contracts.rendezvousScore(affinity, item.id, toWeight(item.ageMs)) }))
     .sort((a, b) => b.score - a.score)
@@ -129,8 +129,8 @@
   const warm = open.filter(item => !item.isCold)
   const near = busy < QUIET_SHARE ? warm.filter(item => item.zone === zone) : []
   const pool = [near, warm, open].find(list => list.length > 0) ?? open
-  const least = Math.min(...pool.map(item => item.own / item.slots))
-  const equals = pool.filter(item => item.own / item.slots <= least)
+  const least = Math.min(...pool.map(item => item.ownInFlight / item.slots))
+  const equals = pool.filter(item => item.ownInFlight / item.slots <= least)
   return { kind: 'chosen', id: equals[Math.floor(draw * equals.length)].id, why: near.length > 0 ? 'near' : 'least' }
 }
 
--- a/packages/forwarding/src/clientCall.ts
+++ b/packages/forwarding/src/clientCall.ts
@@ -23,9 +23,9 @@
   /** When the head of the request was here. */
   startedAt: number
   /** When the client no longer waits, or the route's time is over. */
-  endsAt: number
+  deadlineAt: number
   /** Aborted when nothing is to be gained any more; the reason says why. */
-  stop: AbortController
+  aborter: AbortController
   attempts: AttemptRecord[]
   /** Whether some endpoint may have run the request. */
   mayHaveRun: boolean
@@ -49,7 +49,7 @@
  * @param refusal what is answered
  * @param attemptHeader name of the header that echoes the attempt's id
  */
-export function refuse (call: { req: http.IncomingMessage, res: http.ServerResponse, attemptId: string | undefined }, refusal: Refusal, attemptHeader: string): void {
+export function writeRefusal (call: { req: http.IncomingMessage, res: http.ServerResponse, attemptId: string | undefined }, refusal: Refusal, attemptHeader: string): void {
   const { res } = call
   if (res.headersSent || res.destroyed) {
     // The head of an endpoint's answer is out: only a broken connection shows that the answer is not whole.
--- a/packages/forwarding/src/answerClient.ts
+++ b/packages/forwarding/src/clientResponse.ts
@@ -4,10 +4,10 @@
 import * as forwardHeaders from './forwardHeaders.js'
 
 /** With less time left than this, no endpoint can answer in time, milliseconds. */
-export const MIN_LEFT_MS = 10
+export const MIN_REMAINING_MS = 10
 
 /** An endpoint's answer that is whole. */
-export interface HeldAnswer { res: http.IncomingMessage, body: Buffer }
+export interface BufferedResponse { res: http.IncomingMessage, body: Buffer }
 
 /**
  * Passes a whole answer on.
@@ -15,14 +15,14 @@
  * @param answer the endpoint's answer
  * @returns the outcome, for the log
  */
-export function deliver (call: clientCalls.ClientCall, answer: HeldAnswer): string {
+export function sendResponse (call: clientCalls.ClientCall, answer: BufferedResponse): string {
   const { res, ctx } = call
   if (res.destroyed) return 'the client left'
   call.firstByteAt ??= ctx.now()
   const status = answer.res.statusCode ?? 502
-  const headers = forwardHeaders.toAnswerHeaders(answer.res.rawHeaders)
+  const headers = forwardHeaders.toResponseHeaders(answer.res.rawHeaders)
   if (call.req.method !== 'HEAD' && status !== 204 && status !== 304) headers.push('Content-Length', String(answer.body.length))
-  if (ctx.isStopping()) headers.push('Connection', 'close')
+  if (ctx.isDraining()) headers.push('Connection', 'close')
   res.writeHead(status, headers)
   res.end(answer.body)
   return String(status)
@@ -36,14 +36,14 @@
  * @param delayMs by how much the endpoints begin late, where that is why, milliseconds
  * @returns the outcome, for the log
  */
-export function giveUp (call: clientCalls.ClientCall, held: HeldAnswer | undefined, why: string, delayMs?: number): string {
-  if (held !== undefined) return deliver(call, held)
+export function sendFailure (call: clientCalls.ClientCall, held: BufferedResponse | undefined, why: string, delayMs?: number): string {
+  if (held !== undefined) return sendResponse(call, held)
   if (call.res.destroyed) return 'the client left'
-  const isLate = call.endsAt - call.ctx.now() < MIN_LEFT_MS
-  if (call.mayHaveRun) return refuse(call, isLate ? { kind: 'timeout', why } : { kind: 'lost', why })
-  if (delayMs !== undefined) return refuse(call, { kind: 'unavailable', why, cause: { kind: 'busy', delayMs } })
+  const isLate = call.deadlineAt - call.ctx.now() < MIN_REMAINING_MS
+  if (call.mayHaveRun) return sendRefusal(call, isLate ? { kind: 'timeout', why } : { kind: 'lost', why })
+  if (delayMs !== undefined) return sendRefusal(call, { kind: 'unavailable', why, cause: { kind: 'busy', delayMs } })
   const isUnreachable = call.ctx.pool.usable(call.service, call.ctx.now()).length === 0
-  return refuse(call, { kind: 'unavailable', why, cause: { kind: isUnreachable ? 'noEndpoint' : 'noRoom' } })
+  return sendRefusal(call, { kind: 'unavailable', why, cause: { kind: isUnreachable ? 'noEndpoint' : 'noRoom' } })
 }
 
 /**
@@ -52,7 +52,7 @@
  * @param refusal what is answered
  * @returns the outcome, for the log
  */
-export function refuse (call: clientCalls.ClientCall, refusal: clientCalls.Refusal): string {
-  clientCalls.refuse(call, refusal, call.ctx.names.attemptId)
+export function sendRefusal (call: clientCalls.ClientCall, refusal: clientCalls.Refusal): string {
+  clientCalls.writeRefusal(call, refusal, call.ctx.names.attemptId)
   return `${clientCalls.toStatus(refusal)} ${refusal.why}`
 }
--- a/packages/forwarding/src/crashSuspects.ts
+++ b/packages/forwarding/src/crashQuarantine.ts
@@ -6,16 +6,16 @@
 import * as contracts from '@kingcupdeck/contracts'
 
 /** News of a request that was running at crashes, as entry instances exchange it. */
-export interface CrashNews { fingerprint: string, crashed: string[] }
+export interface CrashReport { fingerprint: string, crashed: string[] }
 
 /** The requests under suspicion. */
-export interface CrashSuspects {
+export interface CrashQuarantine {
   /** Notes that a request was running at an endpoint whose connection broke. */
-  noteLoss (fingerprint: string, endpoint: string, now: number): void
+  recordLoss (fingerprint: string, endpoint: string, now: number): void
   /** Notes that an endpoint is down. @returns what is news of it, for the other instances */
-  noteDown (endpoint: string, now: number): CrashNews[]
+  confirmDown (endpoint: string, now: number): CrashReport[]
   /** Takes what another instance knows. */
-  learn (news: readonly CrashNews[], now: number): void
+  merge (news: readonly CrashReport[], now: number): void
   /** @returns whether the request must not reach any endpoint */
   isQuarantined (fingerprint: string, now: number): boolean
 }
@@ -31,7 +31,7 @@
  * Creates the suspects.
  * @returns none yet
  */
-export function createCrashSuspects (): CrashSuspects {
+export function createCrashQuarantine (): CrashQuarantine {
   let losses: Array<{ fingerprint: string, endpoint: string, at: number }> = []
   const known = new Map<string, { crashed: Set<string>, at: number }>()
 
@@ -46,16 +46,16 @@
   }
 
   return {
-    noteLoss (fingerprint, endpoint, now) {
+    recordLoss (fingerprint, endpoint, now) {
       losses = losses.filter(item => now - item.at < CONFIRM_MS).slice(-MAX_REMEMBERED)
       losses.push({ fingerprint, endpoint, at: now })
     },
-    noteDown (endpoint, now) {
+    confirmDown (endpoint, now) {
       const confirmed = losses.filter(item => item.endpoint === endpoint && now - item.at < CONFIRM_MS)
       losses = losses.filter(item => item.endpoint !== endpoint)
       return confirmed.filter(item => add(item.fingerprint, endpoint, now)).map(item => ({ fingerprint: item.fingerprint, crashed: [endpoint] }))
     },
-    learn (news, now) {
+    merge (news, now) {
       for (const item of news) {
         for (const endpoint of item.crashed) add(item.fingerprint, endpoint, now)
       }
--- a/packages/forwarding/src/nextDocument.ts
+++ b/packages/forwarding/src/documentWaiters.ts
@@ -24,13 +24,13 @@
  * @param isForNewer whether this instance has a document
  * @returns milliseconds, 0 where it is refused at once
  */
-export function toHoldMs (clientMs: number | undefined, held: number, isForNewer = false): number {
+export function toDocumentWaitMs (clientMs: number | undefined, held: number, isForNewer = false): number {
   if (held >= HOLD_REQUESTS) return 0
   return Math.min(isForNewer ? HOLD_NEWER_MOST_MS : HOLD_MOST_MS, HOLD_SHARE * (clientMs ?? UNNAMED_DEADLINE_MS))
 }
 
 /** Requests that wait for the next document. */
-export interface NextDocument {
+export interface DocumentWaiters {
   /**
    * Waits until a document comes, the time is over or the caller has left.
    * @param ms how long at most
@@ -38,16 +38,16 @@
    */
   wait (ms: number, onLeave: (run: () => void) => void): Promise<void>
   /** @returns requests that wait now */
-  held (): number
+  count (): number
   /** A document has come. */
-  arrive (): void
+  releaseAll (): void
 }
 
 /**
  * Creates the waiting room.
  * @returns the room, empty
  */
-export function createNextDocument (): NextDocument {
+export function createDocumentWaiters (): DocumentWaiters {
   const waiting = new Set<() => void>()
   return {
     async wait (ms, onLeave) {
@@ -62,8 +62,8 @@
         onLeave(end)
       })
     },
-    held: () => waiting.size,
-    arrive () {
+    count: () => waiting.size,
+    releaseAll () {
       for (const end of [...waiting]) end()
     }
   }
--- a/packages/forwarding/src/stopping.ts
+++ b/packages/forwarding/src/draining.ts
@@ -6,7 +6,7 @@
  */
 
 /** How far a stop has come, and how long the request may take. */
-export interface StoppingRequest {
+export interface DrainProgress {
   /** Since the stop began, milliseconds. */
   elapsedMs: number
   /** How long the stop may take, milliseconds. */
@@ -18,14 +18,14 @@
 /** Share of the grace in which everything is taken: the rest is longer than nearly all streams last. */
 const TAKE_ALL_SHARE = 0.36
 /** So long before the end of the grace the last answers are through. */
-export const END_MARGIN_MS = 500
+export const DRAIN_END_MARGIN_MS = 500
 
 /**
  * Tells whether a request is still taken.
  * @param req how far the stop has come, and how long the request may take
  * @returns whether it will be answered before the instance ends
  */
-export function mayTake (req: StoppingRequest): boolean {
+export function isAccepted (req: DrainProgress): boolean {
   if (req.elapsedMs <= TAKE_ALL_SHARE * req.graceMs) return true
-  return req.elapsedMs + req.waitMs <= req.graceMs - END_MARGIN_MS
+  return req.elapsedMs + req.waitMs <= req.graceMs - DRAIN_END_MARGIN_MS
 }
--- a/packages/forwarding/src/endpointPool.ts
+++ b/packages/forwarding/src/endpointPool.ts
@@ -5,7 +5,7 @@
 import * as http from 'node:http'
 import * as discovery from '@kingcupdeck/discovery'
 import * as telemetry from '@kingcupdeck/telemetry'
-import * as endpointDelays from './endpointDelay.js'
+import * as queueDelays from './queueDelay.js'
 
 /** An endpoint as this instance sees it. */
 export interface Endpoint {
@@ -15,13 +15,13 @@
   /** Requests of this instance that run there. */
   inFlight: number
   /** Requests of the other entry instances there, as they told last. */
-  foreign: number
+  peerInFlight: number
   /** How long requests of this instance wait there until their answers begin. */
-  delay: endpointDelays.DelayMeter
+  queueDelay: queueDelays.QueueDelayEstimator
   /** The same as the other entry instances see it, milliseconds; undefined where none said so lately. */
-  foreignDelayMs: number | undefined
+  peerQueueDelayMs: number | undefined
   /** Not used before this time, after it could not be reached. */
-  avoidUntil: number
+  backoffUntil: number
   /** Failures to reach it in a row. */
   failures: number
   /** The announcement after which it was found that another process has its address. */
@@ -40,15 +40,15 @@
   /** @returns all endpoints */
   all (): Endpoint[]
   /** Notes that an endpoint could not be connected to. */
-  noteUnreachable (endpoint: Endpoint, now: number, why: string): void
+  markUnreachable (endpoint: Endpoint, now: number, why: string): void
   /** Notes that an endpoint answered. */
-  noteReached (endpoint: Endpoint): void
+  markReachable (endpoint: Endpoint): void
   /** Notes that another process answered at the endpoint's address. */
-  noteMisdirected (endpoint: Endpoint): void
+  markMisdirected (endpoint: Endpoint): void
   /** Forgets endpoints that the table has forgotten and that have no work. */
   prune (): void
   /** Gives up all idle connections to an endpoint, after one of them was found silent or broken. */
-  dropIdle (endpoint: Endpoint): void
+  closeIdleConnections (endpoint: Endpoint): void
 }
 
 /** What a pool is built from. */
@@ -59,7 +59,7 @@
   /** Since when such a one has been heard without a gap. */
   currentSince: () => number
   /** An endpoint that was not heard of for this long gets no work, milliseconds. */
-  silentMs: number
+  unresponsiveMs: number
   log: telemetry.Log
 }
 
@@ -104,10 +104,10 @@
       record,
       agent: createAgent(),
       inFlight: 0,
-      foreign: 0,
-      delay: endpointDelays.createDelayMeter(),
-      foreignDelayMs: undefined,
-      avoidUntil: 0,
+      peerInFlight: 0,
+      queueDelay: queueDelays.createQueueDelayEstimator(),
+      peerQueueDelayMs: undefined,
+      backoffUntil: 0,
       failures: 0,
       misdirectedSeq: undefined
     })
@@ -130,10 +130,10 @@
     // Guards against an instance that refuses everything when control instances are back after a while: it has heard of no
     // endpoint for as long, and will only with their next announcements. Silence counts from when there is news again.
     const heardAt = Math.max(opts.table.get(endpoint.id)?.lastSeenAt ?? -Infinity, opts.currentSince())
-    return opts.currentAt() - heardAt > opts.silentMs
+    return opts.currentAt() - heardAt > opts.unresponsiveMs
   }
 
-  const isReachable = (endpoint: Endpoint, now: number): boolean => endpoint.avoidUntil <= now && !isSilent(endpoint)
+  const isReachable = (endpoint: Endpoint, now: number): boolean => endpoint.backoffUntil <= now && !isSilent(endpoint)
 
   return {
     update (list) {
@@ -147,23 +147,23 @@
       const reachable = ready.filter(item => isReachable(item, now))
       if (reachable.length > 0) return reachable
       // With nothing better, those whose pause is nearly over are tried: each may be back already.
-      return ready.filter(item => item.avoidUntil - now < AVOID_MS && !isSilent(item))
+      return ready.filter(item => item.backoffUntil - now < AVOID_MS && !isSilent(item))
     },
     reachable: (service, now) => [...known.values()].filter(item => item.record.service === service && !isMisdirected(item) && isReachable(item, now)),
     all: () => [...known.values()],
-    noteUnreachable (endpoint, now, why) {
+    markUnreachable (endpoint, now, why) {
       // Many attempts find out about one failure together; each further one would double the pause and add a line to the log.
-      if (endpoint.avoidUntil > now) return
+      if (endpoint.backoffUntil > now) return
       endpoint.failures++
       const pauseMs = Math.min(AVOID_MOST_MS, AVOID_MS * 2 ** (endpoint.failures - 1))
-      endpoint.avoidUntil = now + pauseMs
+      endpoint.backoffUntil = now + pauseMs
       opts.log.event('endpointGone', { endpoint: endpoint.id, why, failures: endpoint.failures, pauseMs })
     },
-    noteReached (endpoint) {
+    markReachable (endpoint) {
       endpoint.failures = 0
-      endpoint.avoidUntil = 0
+      endpoint.backoffUntil = 0
     },
-    noteMisdirected (endpoint) {
+    markMisdirected (endpoint) {
       endpoint.misdirectedSeq = opts.table.get(endpoint.id)?.lastSeenSeq ?? endpoint.record.seq
       retire(endpoint)
       opts.log.event('endpointGone', { endpoint: endpoint.id, why: 'another process has its address', seq: endpoint.misdirectedSeq })
@@ -175,7 +175,7 @@
         known.delete(id)
       }
     },
-    dropIdle
+    closeIdleConnections: dropIdle
   }
 }
 
--- a/packages/forwarding/src/endpointProbe.ts
+++ b/packages/forwarding/src/endpointProbe.ts
@@ -12,7 +12,7 @@
  * @param endpoint the endpoint
  * @returns why it is held to be down, or undefined if it takes connections
  */
-export async function isDown (endpoint: endpointPools.Endpoint): Promise<string | undefined> {
+export async function probeEndpoint (endpoint: endpointPools.Endpoint): Promise<string | undefined> {
   const known = running.get(endpoint)
   if (known !== undefined) return await known
   const asked = connect(endpoint.record.address).finally(() => { running.delete(endpoint) })
@@ -28,7 +28,7 @@
       resolve(why)
       socket.destroy()
     }
-    const timer = setTimeout(() => { settle(`no connection within ${attempts.CONNECT_MS} ms`) }, attempts.CONNECT_MS)
+    const timer = setTimeout(() => { settle(`no connection within ${attempts.CONNECT_TIMEOUT_MS} ms`) }, attempts.CONNECT_TIMEOUT_MS)
     socket.on('connect', () => { settle(undefined) })
     socket.on('error', err => { settle(err.message) })
   })
--- a/packages/forwarding/src/entryContext.ts
+++ b/packages/forwarding/src/entryContext.ts
@@ -1,13 +1,13 @@
 /** What the tasks of all requests of an entry instance share. */
 import * as telemetry from '@kingcupdeck/telemetry'
-import * as crashSuspects from './crashSuspects.js'
-import * as endpointOutcomes from './endpointOutcome.js'
+import * as crashQuarantines from './crashQuarantine.js'
+import * as outlierDetectors from './outlierDetector.js'
 import * as endpointPools from './endpointPool.js'
 import * as entryMetrics from './entryMetrics.js'
 import * as headerNames from './headerNames.js'
-import * as nextDocuments from './nextDocument.js'
-import * as peerExchanges from './peerExchange.js'
-import * as retryWindows from './retryWindow.js'
+import * as documentWaiters from './documentWaiters.js'
+import * as loadGossips from './loadGossip.js'
+import * as retryBudgets from './retryBudget.js'
 import * as routeTables from './routeTable.js'
 
 /** What the tasks of all requests of an entry instance share. */
@@ -15,9 +15,9 @@
   names: headerNames.HeaderNames
   zone: string
   pool: endpointPools.EndpointPool
-  suspects: crashSuspects.CrashSuspects
-  outcomes: endpointOutcomes.EndpointOutcomes
-  exchange: peerExchanges.PeerExchange
+  quarantine: crashQuarantines.CrashQuarantine
+  outliers: outlierDetectors.OutlierDetector
+  gossip: loadGossips.Gossip
   metrics: entryMetrics.EntryMetrics
   log: telemetry.Log
   /** @returns the document in force, or undefined before the first */
@@ -27,12 +27,12 @@
   /** @returns the newest version of the document that any instance said it holds */
   newestDocument: () => number
   /** Holds requests until the next document comes. */
-  nextDocument: nextDocuments.NextDocument
+  documentWaiters: documentWaiters.DocumentWaiters
   /** @returns the second sends that are left for a service */
-  retryWindow: (service: string) => retryWindows.RetryWindow
+  retryBudget: (service: string) => retryBudgets.RetryBudget
   /** @returns whether this instance was told to stop */
-  isStopping: () => boolean
+  isDraining: () => boolean
   /** @returns whether a request that may take so long is still taken */
-  mayTake: (waitMs: number) => boolean
+  isAccepted: (waitMs: number) => boolean
   now: () => number
 }
--- a/packages/forwarding/src/entryInstance.ts
+++ b/packages/forwarding/src/entryInstance.ts
@@ -7,18 +7,18 @@
 import * as discovery from '@kingcupdeck/discovery'
 import * as links from '@kingcupdeck/links'
 import * as telemetry from '@kingcupdeck/telemetry'
-import * as crashSuspects from './crashSuspects.js'
-import * as endpointOutcomes from './endpointOutcome.js'
+import * as crashQuarantines from './crashQuarantine.js'
+import * as outlierDetectors from './outlierDetector.js'
 import * as endpointPools from './endpointPool.js'
 import * as entryContexts from './entryContext.js'
 import * as entryMetrics from './entryMetrics.js'
 import * as entryServers from './entryServer.js'
 import * as headerNames from './headerNames.js'
-import * as nextDocuments from './nextDocument.js'
-import * as peerExchanges from './peerExchange.js'
-import * as retryWindows from './retryWindow.js'
+import * as documentWaiters from './documentWaiters.js'
+import * as loadGossips from './loadGossip.js'
+import * as retryBudgets from './retryBudget.js'
 import * as routeTables from './routeTable.js'
-import * as stopping from './stopping.js'
+import * as draining from './draining.js'
 
 /** What an entry instance is built from. */
 export interface EntryInstanceOptions {
@@ -36,13 +36,13 @@
   /** What all instances of the fleet must know. */
   secret: string
   /** Whether control instances hand out what they hold before they have started. */
-  takesHandouts: boolean
+  usesHandouts: boolean
   names: headerNames.HeaderNames
   /** Reads a document as the operators sent it. @throws Error when it cannot be read */
   readDocument: (text: Buffer) => routeTables.RouteTable
-  retryBounds: retryWindows.RetryBounds
+  retryBudget: retryBudgets.RetryBudgetOptions
   /** How often endpoints announce themselves, milliseconds. */
-  announceMs: number
+  announceIntervalMs: number
   /** How long a stop may take, milliseconds. */
   graceMs: number
   log: telemetry.Log
@@ -94,16 +94,16 @@
   const { log } = opts
   const now = (): number => performance.now()
   const table = discovery.createRecordTable()
-  const suspects = crashSuspects.createCrashSuspects()
-  const outcomes = endpointOutcomes.createEndpointOutcomes((endpoint, isAside, share) => {
+  const suspects = crashQuarantines.createCrashQuarantine()
+  const outcomes = outlierDetectors.createOutlierDetector((endpoint, isAside, share) => {
     log.event('endpointSetAside', { endpoint, isAside, missedShare: Number(share.toFixed(2)) })
   })
   const metrics = entryMetrics.createEntryMetrics(opts.droppedLines)
-  const nextDocument = nextDocuments.createNextDocument()
+  const nextDocument = documentWaiters.createDocumentWaiters()
   let document: routeTables.CompiledTable | undefined
   let stopBeganAt: number | undefined
   let seq = 0
-  const retryOf = new Map<string, retryWindows.RetryWindow>()
+  const retryOf = new Map<string, retryBudgets.RetryBudget>()
 
   const self = (): discovery.EntryRecord => ({
     kind: 'entry',
@@ -120,8 +120,8 @@
   const handlers: links.LinkHandlers = {
     onEvent (body, link) {
       if ((body as { t?: unknown })?.t === 'peer') {
-        const news = peerExchanges.peerNews.safeParse(body)
-        if (news.success) exchange.onNews(news.data, link.peer.id)
+        const news = loadGossips.gossipUpdate.safeParse(body)
+        if (news.success) exchange.onUpdate(news.data, link.peer.id)
         return
       }
       const event = discovery.discoveryEvent.safeParse(body)
@@ -138,7 +138,7 @@
       document = routeTables.compileTable(opts.readDocument(taken.text))
       server.applyLimits(document.limits)
       metrics.documentVersion.set(document.version)
-      nextDocument.arrive()
+      nextDocument.releaseAll()
       log.event('documentInForce', { version: document.version, waitedMs: Math.round(waitedMs), routes: [...document.routesOf.values()].reduce((sum, list) => sum + list.length, 0) })
     } catch (err) {
       log.event('documentUnreadable', { version: taken.version, detail: err instanceof Error ? err.message : String(err) })
@@ -155,7 +155,7 @@
     table,
     currentAt: () => subscriber.lastQuorumAt(),
     currentSince: () => subscriber.quorumSince(),
-    silentMs: SILENT_ANNOUNCEMENTS * opts.announceMs + SILENT_MARGIN_MS,
+    unresponsiveMs: SILENT_ANNOUNCEMENTS * opts.announceIntervalMs + SILENT_MARGIN_MS,
     log
   })
 
@@ -163,30 +163,30 @@
     .filter(item => item.record.id !== opts.id && item.record.state !== 'gone' && isHeard(item.lastSeenAt))
     .map(item => item.record)
 
-  const exchange = peerExchanges.startPeerExchange({ others: otherEntries, reach: peers.get, pool: endpoints, suspects, outcomes, version: () => subscriber.version(), onVersion: (address, version) => { subscriber.notePeerVersion(address, version) } })
+  const exchange = loadGossips.startGossip({ peers: otherEntries, connect: peers.get, pool: endpoints, quarantine: suspects, outliers: outcomes, documentVersion: () => subscriber.version(), onDocumentVersion: (address, version) => { subscriber.notePeerVersion(address, version) } })
 
   const ctx: entryContexts.EntryContext = {
     names: opts.names,
     zone: opts.zone,
     pool: endpoints,
-    suspects,
-    outcomes,
-    exchange,
+    quarantine: suspects,
+    outliers: outcomes,
+    gossip: exchange,
     metrics,
     log,
     table: () => document,
     isLatestDocument: () => subscriber.isDocumentLatest(),
     newestDocument: () => subscriber.newestVersion(),
-    nextDocument,
-    retryWindow (service) {
+    documentWaiters: nextDocument,
+    retryBudget (service) {
       const known = retryOf.get(service)
       if (known !== undefined) return known
-      const created = retryWindows.createRetryWindow(opts.retryBounds)
+      const created = retryBudgets.createRetryBudget(opts.retryBudget)
       retryOf.set(service, created)
       return created
     },
-    isStopping: () => stopBeganAt !== undefined,
-    mayTake: waitMs => stopBeganAt === undefined || stopping.mayTake({ elapsedMs: now() - stopBeganAt, graceMs: opts.graceMs, waitMs }),
+    isDraining: () => stopBeganAt !== undefined,
+    isAccepted: waitMs => stopBeganAt === undefined || draining.isAccepted({ elapsedMs: now() - stopBeganAt, graceMs: opts.graceMs, waitMs }),
     now
   }
 
@@ -196,7 +196,7 @@
     seeds: opts.seeds,
     table,
     dial: async address => await links.withTimeout(links.dial(address, linkSettings), DIAL_MS, `no connection to ${address}`),
-    fetchHandout: opts.takesHandouts ? async address => await discovery.fetchHandout(discovery.toHandoutAddress(address), opts.secret) : undefined,
+    fetchHandout: opts.usesHandouts ? async address => await discovery.fetchHandout(discovery.toHandoutAddress(address), opts.secret) : undefined,
     self,
     onDocument: takeDocument,
     onRecords: list => { endpoints.update(list) },
@@ -228,18 +228,18 @@
     async stop () {
       const beganAt = now()
       stopBeganAt = beganAt
-      log.event('stopping', { open: server.open(), connections: server.connections() })
+      log.event('stopping', { open: server.openRequests(), connections: server.connections() })
       announce()
       const elapsed = (): number => now() - beganAt
       let quietSince = beganAt
       while (elapsed() < opts.graceMs - ACCEPT_MARGIN_MS) {
-        if (server.open() > 0) quietSince = now()
+        if (server.openRequests() > 0) quietSince = now()
         if (now() - quietSince > QUIET_MS) break
         await timers.setTimeout(LOOK_MS)
       }
       server.stopListening()
-      while (server.open() > 0 && elapsed() < opts.graceMs - EXIT_MARGIN_MS) await timers.setTimeout(LOOK_MS)
-      log.event('stopped', { ms: Math.round(elapsed()), open: server.open() })
+      while (server.openRequests() > 0 && elapsed() < opts.graceMs - EXIT_MARGIN_MS) await timers.setTimeout(LOOK_MS)
+      log.event('stopped', { ms: Math.round(elapsed()), open: server.openRequests() })
       clearInterval(pruner)
       exchange.stop()
       subscriber.stop()
--- a/packages/forwarding/src/entryServer.ts
+++ b/packages/forwarding/src/entryServer.ts
@@ -6,7 +6,7 @@
 import * as admission from './admission.js'
 import * as clientCalls from './clientCall.js'
 import * as entryContexts from './entryContext.js'
-import * as nextDocuments from './nextDocument.js'
+import * as documentWaiters from './documentWaiters.js'
 import * as forwards from './forward.js'
 import * as routeTables from './routeTable.js'
 
@@ -17,7 +17,7 @@
   /** IP number and port that it listens on. */
   readonly address: string
   /** @returns requests that are not answered yet */
-  open (): number
+  openRequests (): number
   /** @returns connections of callers */
   connections (): number
   /** Takes no further connections and closes idle ones. */
@@ -74,12 +74,12 @@
     const startedAt = ctx.now()
     const attemptId = admission.findHeader(req.rawHeaders, ctx.names.attemptId)
     const refuse = (refusal: clientCalls.Refusal): void => {
-      clientCalls.refuse({ req, res, attemptId }, refusal, ctx.names.attemptId)
+      clientCalls.writeRefusal({ req, res, attemptId }, refusal, ctx.names.attemptId)
       ctx.metrics.requests.inc({ route: 'none', outcome: String(clientCalls.toStatus(refusal)) })
       ctx.log.event('requestRefused', { request: attemptId, status: clientCalls.toStatus(refusal), why: refusal.why, host: req.headers.host, path: req.url?.slice(0, 80), document: ctx.table()?.version, newest: ctx.newestDocument() })
     }
     res.on('error', () => {})
-    if (ctx.isStopping()) res.setHeader('Connection', 'close')
+    if (ctx.isDraining()) res.setHeader('Connection', 'close')
     const { table, seen } = await admit(req, res)
     if (res.destroyed) return
     if (table === undefined) {
@@ -90,7 +90,7 @@
       refuse(seen.refusal)
       return
     }
-    if (!ctx.mayTake(Math.min(seen.route.timeoutMs, seen.clientMs ?? Infinity))) {
+    if (!ctx.isAccepted(Math.min(seen.route.timeoutMs, seen.clientDeadlineMs ?? Infinity))) {
       refuse({ kind: 'unavailable', why: 'this instance is stopping', cause: { kind: 'stopping' } })
       return
     }
@@ -133,21 +133,21 @@
   }
 
   const look = (req: http.IncomingMessage, table: routeTables.CompiledTable): admission.Admission => {
-    return admission.admit({ method: req.method ?? '', url: req.url ?? '', host: req.headers.host, raw: req.rawHeaders }, table, ctx.names)
+    return admission.admit({ method: req.method ?? '', url: req.url ?? '', host: req.headers.host, rawHeaders: req.rawHeaders }, table, ctx.names)
   }
 
-  const isDoubtful = (seen: admission.Admission): boolean => seen.kind === 'refused' && admission.isByDocument(seen.refusal) && !ctx.isLatestDocument()
+  const isDoubtful = (seen: admission.Admission): boolean => seen.kind === 'refused' && admission.dependsOnDocument(seen.refusal) && !ctx.isLatestDocument()
 
   const waitForTable = async (req: http.IncomingMessage, res: http.ServerResponse, isForNewer: boolean): Promise<routeTables.CompiledTable | undefined> => {
-    const clientMs = admission.toClientMs(req.rawHeaders, ctx.names)
-    const holdMs = nextDocuments.toHoldMs(clientMs, ctx.nextDocument.held(), isForNewer)
-    if (holdMs > 0) await ctx.nextDocument.wait(holdMs, run => res.once('close', run))
+    const clientMs = admission.toClientDeadlineMs(req.rawHeaders, ctx.names)
+    const holdMs = documentWaiters.toDocumentWaitMs(clientMs, ctx.documentWaiters.count(), isForNewer)
+    if (holdMs > 0) await ctx.documentWaiters.wait(holdMs, run => res.once('close', run))
     return ctx.table()
   }
 
   const run = async (req: http.IncomingMessage, res: http.ServerResponse, startedAt: number, table: routeTables.CompiledTable, seen: Extract<admission.Admission, { kind: 'admitted' }>, body: Buffer): Promise<void> => {
     const { route, account } = seen
-    const waitMs = Math.min(route.timeoutMs, seen.clientMs ?? Infinity)
+    const waitMs = Math.min(route.timeoutMs, seen.clientDeadlineMs ?? Infinity)
     const call: clientCalls.ClientCall = {
       req,
       res,
@@ -160,16 +160,16 @@
       attemptId: seen.attemptId,
       body,
       startedAt,
-      endsAt: startedAt + waitMs,
-      stop: new AbortController(),
+      deadlineAt: startedAt + waitMs,
+      aborter: new AbortController(),
       attempts: [],
       mayHaveRun: false,
       firstByteAt: undefined
     }
-    const timer = setTimeout(() => { call.stop.abort('the time is over') }, Math.max(0, call.endsAt - ctx.now()))
+    const timer = setTimeout(() => { call.aborter.abort('the time is over') }, Math.max(0, call.deadlineAt - ctx.now()))
     const onClose = (): void => {
       // What may run only once is left to run to its end: breaking it off half-way helps nobody.
-      if (!res.writableFinished && route.kind !== 'once') call.stop.abort('the client left')
+      if (!res.writableFinished && route.kind !== 'once') call.aborter.abort('the client left')
     }
     res.on('close', onClose)
     ctx.metrics.open.inc()
@@ -201,7 +201,7 @@
       server.headersTimeout = limits.headerTimeoutMs
       server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS
     },
-    open: () => open,
+    openRequests: () => open,
     connections: () => sockets.size,
     stopListening () {
       server.close()
@@ -270,7 +270,7 @@
     service: call.service,
     outcome,
     document: call.table.version,
-    waitMs: Math.round(call.endsAt - call.startedAt),
+    waitMs: Math.round(call.deadlineAt - call.startedAt),
     firstMs: call.firstByteAt === undefined ? undefined : Math.round(call.firstByteAt - call.startedAt),
     totalMs: Math.round(now - call.startedAt),
     attempts: call.attempts.map(item => `${item.endpoint} (${item.why}) ${item.outcome} ${item.ms}`).join('; ')
--- a/packages/forwarding/src/eventJoiner.ts
+++ b/packages/forwarding/src/eventBatcher.ts
@@ -6,14 +6,14 @@
  */
 
 /** How events are written and time passes. */
-export interface EventJoinerOptions {
+export interface EventBatcherOptions {
   write: (bytes: Buffer) => void
   /** Runs something later. @returns how to call it off */
   schedule: (run: () => void, ms: number) => () => void
 }
 
 /** Joins events. */
-export interface EventJoiner {
+export interface EventBatcher {
   /** Takes an event; the first one goes out at once, since the time to it counts most. */
   push: (bytes: Buffer) => void
   /** Writes what is held. */
@@ -21,14 +21,14 @@
 }
 
 /** How long an event waits for others: a third of what one may take from endpoint to client, so that the way fits in. */
-export const JOIN_MS = 45
+export const BATCH_WINDOW_MS = 45
 
 /**
  * Creates a joiner.
  * @param opts where events go
  * @returns the joiner
  */
-export function createEventJoiner (opts: EventJoinerOptions): EventJoiner {
+export function createEventBatcher (opts: EventBatcherOptions): EventBatcher {
   let held: Buffer[] = []
   let isFirst = true
   let callOff: (() => void) | undefined
@@ -50,7 +50,7 @@
         flush()
         return
       }
-      callOff ??= opts.schedule(flush, JOIN_MS)
+      callOff ??= opts.schedule(flush, BATCH_WINDOW_MS)
     },
     flush
   }
--- a/packages/forwarding/src/eventStream.ts
+++ b/packages/forwarding/src/eventStream.ts
@@ -8,7 +8,7 @@
   /** Takes bytes. @returns the events that are whole now */
   push (chunk: Buffer): StreamEvent[]
   /** @returns how many bytes of an unfinished event are held */
-  held (): number
+  pendingBytes (): number
 }
 
 const LF = 10
@@ -36,7 +36,7 @@
       rest = all.subarray(from)
       return events
     },
-    held: () => rest.length
+    pendingBytes: () => rest.length
   }
 }
 
--- a/packages/forwarding/src/forwardHeaders.ts
+++ b/packages/forwarding/src/forwardHeaders.ts
@@ -64,7 +64,7 @@
  * @param raw the endpoint's headers, names and values by turns
  * @returns names and values by turns, without the length, which the sender sets
  */
-export function toAnswerHeaders (raw: readonly string[]): string[] {
+export function toResponseHeaders (raw: readonly string[]): string[] {
   const dropped = namedByConnection(raw)
   const headers: string[] = []
   for (let i = 0; i < raw.length; i += 2) {
--- a/packages/forwarding/src/peerExchange.ts
+++ b/packages/forwarding/src/loadGossip.ts
@@ -6,13 +6,13 @@
 import * as z from 'zod'
 import * as discovery from '@kingcupdeck/discovery'
 import * as links from '@kingcupdeck/links'
-import * as crashSuspects from './crashSuspects.js'
-import * as endpointOutcomes from './endpointOutcome.js'
+import * as crashQuarantines from './crashQuarantine.js'
+import * as outlierDetectors from './outlierDetector.js'
 import * as endpointPools from './endpointPool.js'
 import * as numbers from './numbers.js'
 
 /** What an entry instance tells the others. */
-export const peerNews = z.object({
+export const gossipUpdate = z.object({
   t: z.literal('peer'),
   /** Endpoint, requests there, and how long they wait there until their answers begin, milliseconds, or null if that is not known. */
   loads: z.array(z.tuple([z.string(), z.number(), z.number().nullable()])),
@@ -22,29 +22,29 @@
   document: z.number().default(0)
 })
 /** What an entry instance tells the others. */
-export type PeerNews = z.infer<typeof peerNews>
+export type GossipUpdate = z.infer<typeof gossipUpdate>
 
 /** What the exchange is built from. */
-export interface PeerExchangeOptions {
+export interface GossipOptions {
   /** The other entry instances. */
-  others: () => discovery.EntryRecord[]
-  reach: (address: string) => Promise<links.Link>
+  peers: () => discovery.EntryRecord[]
+  connect: (address: string) => Promise<links.Link>
   pool: endpointPools.EndpointPool
-  suspects: crashSuspects.CrashSuspects
-  outcomes: endpointOutcomes.EndpointOutcomes
+  quarantine: crashQuarantines.CrashQuarantine
+  outliers: outlierDetectors.OutlierDetector
   /** @returns the version of the document that is held here */
-  version: () => number
+  documentVersion: () => number
   /** Told which version another instance holds. */
-  onVersion: (address: string, version: number) => void
+  onDocumentVersion: (address: string, version: number) => void
 }
 
 /** Exchanges loads. */
-export interface PeerExchange {
-  onNews (news: PeerNews, from: string): void
+export interface Gossip {
+  onUpdate (news: GossipUpdate, from: string): void
   /** Tells all others at once of requests that crash endpoints. */
-  tellCrashes (crashes: crashSuspects.CrashNews[]): void
+  sendCrashReports (crashes: crashQuarantines.CrashReport[]): void
   /** @returns how many entry instances there are, this one with them */
-  instances (): number
+  instanceCount (): number
   stop (): void
 }
 
@@ -60,14 +60,14 @@
  * @param opts this instance and the ways to the others
  * @returns the exchange
  */
-export function startPeerExchange (opts: PeerExchangeOptions): PeerExchange {
-  const heard = new Map<string, { loads: PeerNews['loads'], at: number }>()
+export function startGossip (opts: GossipOptions): Gossip {
+  const heard = new Map<string, { loads: GossipUpdate['loads'], at: number }>()
   const stopped = new AbortController()
 
   const addUp = (): void => {
     const now = performance.now()
     const delays = new Map<string, number[]>()
-    for (const endpoint of opts.pool.all()) endpoint.foreign = 0
+    for (const endpoint of opts.pool.all()) endpoint.peerInFlight = 0
     for (const [peer, item] of heard) {
       if (now - item.at > FORGET_MS) {
         heard.delete(peer)
@@ -76,27 +76,27 @@
       for (const [id, load, delayMs] of item.loads) {
         const endpoint = opts.pool.get(id)
         if (endpoint === undefined) continue
-        endpoint.foreign += load
+        endpoint.peerInFlight += load
         if (delayMs === null) continue
         const known = delays.get(id)
         if (known === undefined) delays.set(id, [delayMs])
         else known.push(delayMs)
       }
     }
-    for (const endpoint of opts.pool.all()) endpoint.foreignDelayMs = numbers.median(delays.get(endpoint.id) ?? [])
+    for (const endpoint of opts.pool.all()) endpoint.peerQueueDelayMs = numbers.median(delays.get(endpoint.id) ?? [])
   }
 
-  const toLoads = (): PeerNews['loads'] => {
+  const toLoads = (): GossipUpdate['loads'] => {
     const now = performance.now()
     return opts.pool.all().filter(item => item.inFlight > 0).map(item => {
-      const delayMs = item.delay.expectedMs(now)
+      const delayMs = item.queueDelay.estimateMs(now)
       return [item.id, item.inFlight, delayMs === undefined ? null : Math.round(delayMs)]
     })
   }
 
-  const tell = (news: PeerNews): void => {
+  const tell = (news: GossipUpdate): void => {
     const encoded = links.encodeEvent(news)
-    for (const other of opts.others()) opts.reach(other.inner).then(link => { link.sendEncoded(encoded) }, () => {})
+    for (const other of opts.peers()) opts.connect(other.inner).then(link => { link.sendEncoded(encoded) }, () => {})
   }
 
   const run = async (): Promise<void> => {
@@ -107,8 +107,8 @@
       addUp()
       const loads = toLoads()
       // An idle instance says so once and is then silent but for a new document: silence reads as no load.
-      const outcomes = opts.outcomes.takeNews(performance.now())
-      const version = opts.version()
+      const outcomes = opts.outliers.takeDeltas(performance.now())
+      const version = opts.documentVersion()
       if (loads.length === 0 && outcomes.length === 0 && wasEmpty && version === toldVersion) continue
       wasEmpty = loads.length === 0
       toldVersion = version
@@ -118,17 +118,17 @@
 
   void run()
   return {
-    onNews (news, from) {
+    onUpdate (news, from) {
       heard.set(from, { loads: news.loads, at: performance.now() })
-      opts.suspects.learn(news.crashes, performance.now())
-      opts.outcomes.learn(news.outcomes, performance.now())
-      opts.onVersion(from, news.document)
+      opts.quarantine.merge(news.crashes, performance.now())
+      opts.outliers.merge(news.outcomes, performance.now())
+      opts.onDocumentVersion(from, news.document)
       addUp()
     },
-    tellCrashes (crashes) {
-      tell({ t: 'peer', loads: toLoads(), outcomes: [], crashes, document: opts.version() })
+    sendCrashReports (crashes) {
+      tell({ t: 'peer', loads: toLoads(), outcomes: [], crashes, document: opts.documentVersion() })
     },
-    instances: () => opts.others().length + 1,
+    instanceCount: () => opts.peers().length + 1,
     stop () { stopped.abort() }
   }
 }
--- a/packages/forwarding/src/outgoing.ts
+++ b/packages/forwarding/src/outgoingRequest.ts
@@ -3,7 +3,7 @@
 import * as attempts from './attempt.js'
 import * as clientCalls from './clientCall.js'
 import * as forwardHeaders from './forwardHeaders.js'
-import * as pickEndpoints from './pickEndpoint.js'
+import * as selectEndpoints from './selectEndpoint.js'
 
 const BODILESS = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS', 'TRACE'])
 
@@ -15,7 +15,7 @@
  * @param lastEventId the last event that the client has, where the rest of a stream is asked for
  * @returns what is sent
  */
-export function toOutgoing (call: clientCalls.ClientCall, picked: pickEndpoints.Picked, leftMs: number, lastEventId: string | undefined): attempts.Outgoing {
+export function toOutgoingRequest (call: clientCalls.ClientCall, picked: selectEndpoints.SelectedEndpoint, leftMs: number, lastEventId: string | undefined): attempts.OutgoingRequest {
   const { req, ctx } = call
   // A method with a body needs a length even if the client sent none, or the HTTP library would send chunks.
   const hasBody = call.body.length > 0 || !BODILESS.has(req.method ?? 'GET')
--- a/packages/forwarding/src/endpointOutcome.ts
+++ b/packages/forwarding/src/outlierDetector.ts
@@ -9,10 +9,10 @@
 import * as numbers from './numbers.js'
 
 /** How attempts at one endpoint went since an instance told last: its id, all attempts, those that missed. */
-export type OutcomeNews = [endpoint: string, attempts: number, missed: number]
+export type OutcomeDelta = [endpoint: string, attempts: number, missed: number]
 
 /** An endpoint as it may be set aside. */
-export interface Judged {
+export interface OutlierCandidate {
   id: string
   /** Requests there, of all entry instances as far as known. */
   load: number
@@ -20,17 +20,17 @@
 }
 
 /** How attempts at endpoints went. */
-export interface EndpointOutcomes {
+export interface OutlierDetector {
   /** Notes an attempt; it missed if it failed, was refused or came later than its target. */
-  note (endpoint: string, isMissed: boolean, now: number): void
+  record (endpoint: string, isMissed: boolean, now: number): void
   /** Takes what another instance tells. */
-  learn (news: readonly OutcomeNews[], now: number): void
+  merge (news: readonly OutcomeDelta[], now: number): void
   /** @returns what was noted here since the last call */
-  takeNews (now: number): OutcomeNews[]
+  takeDeltas (now: number): OutcomeDelta[]
   /** @returns how many endpoints are remembered, here or by what others told */
   size (): number
   /** @returns those of a service's endpoints that should get no work now */
-  findWorse (service: string, endpoints: readonly Judged[], now: number): ReadonlySet<string>
+  findOutliers (service: string, endpoints: readonly OutlierCandidate[], now: number): ReadonlySet<string>
 }
 
 /** Half of what was seen counts after this time: long enough for twenty attempts at a small endpoint, short against a fault. */
@@ -59,10 +59,10 @@
  * @param onChange told when an endpoint is set aside or gets work again
  * @returns the memory, empty
  */
-export function createEndpointOutcomes (onChange: (endpoint: string, isAside: boolean, share: number) => void = () => {}): EndpointOutcomes {
+export function createOutlierDetector (onChange: (endpoint: string, isAside: boolean, share: number) => void = () => {}): OutlierDetector {
   const own = new Map<string, Tally>()
   const all = new Map<string, Tally>()
-  const news = new Map<string, OutcomeNews>()
+  const news = new Map<string, OutcomeDelta>()
   const asideOf = new Map<string, Set<string>>()
   const heldUntil = new Map<string, number>()
 
@@ -74,7 +74,7 @@
   }
 
   /** @returns the endpoints whose attempts missed clearly more often than those at all others together */
-  const findOutliers = (tallies: Map<string, Tally>, endpoints: readonly Judged[], now: number): Set<string> => {
+  const findOutliers = (tallies: Map<string, Tally>, endpoints: readonly OutlierCandidate[], now: number): Set<string> => {
     const tallyOf = new Map(endpoints.map(item => [item.id, read(tallies, item.id, now)]))
     const attempts = numbers.sum([...tallyOf.values()].map(item => item.attempts))
     const missed = numbers.sum([...tallyOf.values()].map(item => item.missed))
@@ -111,24 +111,24 @@
   }
 
   return {
-    note (endpoint, isMissed, now) {
+    record (endpoint, isMissed, now) {
       const missed = isMissed ? 1 : 0
       add(own, endpoint, 1, missed, now)
       add(all, endpoint, 1, missed, now)
       const item = news.get(endpoint) ?? [endpoint, 0, 0]
       news.set(endpoint, [endpoint, item[1] + 1, item[2] + missed])
     },
-    learn (list, now) {
+    merge (list, now) {
       for (const [endpoint, attempts, missed] of list) add(all, endpoint, attempts, missed, now)
     },
-    takeNews (now) {
+    takeDeltas (now) {
       forget(now)
       const list = [...news.values()]
       news.clear()
       return list
     },
     size: () => Math.max(own.size, all.size),
-    findWorse (service, endpoints, now) {
+    findOutliers (service, endpoints, now) {
       // An endpoint may fail for the callers of one availability zone only, so what was seen here counts by itself as well.
       const outliers = [findOutliers(all, endpoints, now), findOutliers(own, endpoints, now)]
       const worse = endpoints
--- a/packages/forwarding/src/urgency.ts
+++ b/packages/forwarding/src/priority.ts
@@ -17,7 +17,7 @@
  * @param ranks the ranks; null is that of who has none, behind all others
  * @returns the ranks in order
  */
-export function toOrder (ranks: ReadonlyArray<number | null>): number[] {
+export function toDistinctRanks (ranks: ReadonlyArray<number | null>): number[] {
   return [...new Set(ranks.map(toNumber))].sort((a, b) => a - b)
 }
 
--- a/packages/forwarding/src/endpointDelay.ts
+++ b/packages/forwarding/src/queueDelay.ts
@@ -10,20 +10,20 @@
 import * as numbers from './numbers.js'
 
 /** A request that waits for its answer to begin. */
-export interface Wait { readonly sentAt: number }
+export interface PendingRequest { readonly sentAt: number }
 
 /** How long requests wait at one endpoint. */
-export interface DelayMeter {
+export interface QueueDelayEstimator {
   /** Notes a request that was sent. */
-  begin (now: number): Wait
+  onSent (now: number): PendingRequest
   /** Notes that the answer to a request began. */
-  answered (wait: Wait, now: number): void
+  onResponse (wait: PendingRequest, now: number): void
   /** Notes that a request waits no longer, without an answer. */
-  left (wait: Wait): void
+  onAbandoned (wait: PendingRequest): void
   /** @returns how long the next request is likely to wait, milliseconds, or undefined if nothing was seen lately */
-  expectedMs (now: number): number | undefined
+  estimateMs (now: number): number | undefined
   /** @returns what is known of a request that waits long: overtaken by a later one, still queued, or nothing is answered at all */
-  judge (wait: Wait): 'overtaken' | 'queued' | 'silent'
+  classify (wait: PendingRequest): 'overtaken' | 'queued' | 'silent'
 }
 
 /** Waits that ended longer ago say nothing of now. */
@@ -52,8 +52,8 @@
  * Creates a meter.
  * @returns the meter, without anything seen
  */
-export function createDelayMeter (): DelayMeter {
-  const waiting = new Set<Wait>()
+export function createQueueDelayEstimator (): QueueDelayEstimator {
+  const waiting = new Set<PendingRequest>()
   let ended: Array<{ at: number, ms: number }> = []
   /** When the latest of those requests was sent that were answered. */
   let answeredSentAt = -Infinity
@@ -61,7 +61,7 @@
   /** Milliseconds between two answers while requests wait; undefined until that was seen. */
   let paceMs: number | undefined
 
-  const notePace = (wait: Wait, now: number): void => {
+  const notePace = (wait: PendingRequest, now: number): void => {
     const sinceMs = now - Math.max(answeredAt, wait.sentAt)
     paceMs = paceMs === undefined ? sinceMs : paceMs + PACE_WEIGHT * (sinceMs - paceMs)
   }
@@ -86,20 +86,20 @@
   }
 
   return {
-    begin (now) {
+    onSent (now) {
       const wait = { sentAt: now }
       waiting.add(wait)
       return wait
     },
-    answered (wait, now) {
+    onResponse (wait, now) {
       waiting.delete(wait)
       notePace(wait, now)
       answeredAt = now
       answeredSentAt = Math.max(answeredSentAt, wait.sentAt)
       ended = [...ended.slice(1 - WAITS), { at: now, ms: now - wait.sentAt }]
     },
-    left (wait) { waiting.delete(wait) },
-    expectedMs (now) {
+    onAbandoned (wait) { waiting.delete(wait) },
+    estimateMs (now) {
       const queuedMs = toQueuedMs(now)
       const endedMs = toEndedMs(now)
       const isPaceKnown = paceMs !== undefined && now - answeredAt < PACE_MEMORY_MS
@@ -107,7 +107,7 @@
       const seen = [queuedMs, endedMs, countedMs].filter(item => item !== undefined)
       return seen.length === 0 ? undefined : Math.max(...seen)
     },
-    judge (wait) {
+    classify (wait) {
       if (answeredSentAt > wait.sentAt) return 'overtaken'
       return answeredAt > wait.sentAt ? 'queued' : 'silent'
     }
--- a/packages/forwarding/src/relayStream.ts
+++ b/packages/forwarding/src/relayStream.ts
@@ -4,32 +4,32 @@
  */
 import * as http from 'node:http'
 import * as attempts from './attempt.js'
-import * as breakOffs from './breakOff.js'
+import * as abortResponses from './abortResponse.js'
 import * as clientCalls from './clientCall.js'
 import * as endpointPools from './endpointPool.js'
-import * as eventJoiners from './eventJoiner.js'
+import * as eventBatchers from './eventBatcher.js'
 import * as eventStreams from './eventStream.js'
 import * as forwardHeaders from './forwardHeaders.js'
 
 /** An answer whose body is still to come. */
-export type OpenAnswer = Extract<attempts.Sent, { kind: 'answer' }>
+export type OpenResponse = Extract<attempts.AttemptResult, { kind: 'answer' }>
 
 /** What came of asking another endpoint for the rest. */
-export type Resumed =
-  | { kind: 'stream', endpoint: endpointPools.Endpoint, sent: OpenAnswer }
+export type ResumeResult =
+  | { kind: 'stream', endpoint: endpointPools.Endpoint, sent: OpenResponse }
   | { kind: 'none', why: string }
 
 /** What a relay needs beside the request. */
 export interface RelayOptions {
-  sent: OpenAnswer
+  response: OpenResponse
   /** The endpoint that gives this answer. */
   endpoint: endpointPools.Endpoint
   /** Asks another endpoint for what follows an event, after one broke off. */
-  resume: (lastEventId: string | undefined, broken: endpointPools.Endpoint) => Promise<Resumed>
+  resume: (lastEventId: string | undefined, broken: endpointPools.Endpoint) => Promise<ResumeResult>
 }
 
 /** How a relay ended: with its end passed on, broken off, or before anything was passed on. */
-export interface Relayed { kind: 'done' | 'broken' | 'unstarted', outcome: string }
+export interface RelayResult { kind: 'done' | 'broken' | 'unstarted', outcome: string }
 
 /** How one endpoint's part of a stream ended. */
 type PartEnd = { kind: 'end' } | { kind: 'broken', why: string } | { kind: 'stopped', why: string }
@@ -46,25 +46,25 @@
  * @param opts the endpoint's answer and the way to another one
  * @returns how it ended
  */
-export async function relayStream (call: clientCalls.ClientCall, opts: RelayOptions): Promise<Relayed> {
+export async function relayStream (call: clientCalls.ClientCall, opts: RelayOptions): Promise<RelayResult> {
   const { res, route, ctx } = call
   const canResume = route.isResumable
-  const first = opts.sent.res
+  const first = opts.response.res
   let isStarted = false
   let lastId: string | undefined
-  let source = opts.sent
+  let source = opts.response
   let restEndpoint: endpointPools.Endpoint | undefined
   let resumedFrom: string | undefined
 
   const start = (): void => {
     isStarted = true
-    const headers = forwardHeaders.toAnswerHeaders(first.rawHeaders)
-    if (ctx.isStopping()) headers.push('Connection', 'close')
+    const headers = forwardHeaders.toResponseHeaders(first.rawHeaders)
+    if (ctx.isDraining()) headers.push('Connection', 'close')
     res.writeHead(first.statusCode ?? 200, headers)
   }
 
   let isBackedUp = false
-  const joiner = eventJoiners.createEventJoiner({
+  const joiner = eventBatchers.createEventBatcher({
     write (bytes) { isBackedUp = !res.write(bytes) },
     schedule (run, ms) {
       const timer = setTimeout(run, ms)
@@ -79,30 +79,30 @@
     if (event.id !== undefined) lastId = event.id
     joiner.push(event.bytes)
     if (isBackedUp && !res.destroyed) {
-      await drained(res, call.stop.signal)
+      await drained(res, call.aborter.signal)
       isBackedUp = false
     }
   }
 
-  const runPart = async (answer: OpenAnswer): Promise<PartEnd> => {
+  const runPart = async (answer: OpenResponse): Promise<PartEnd> => {
     const part = answer.res
     const splitter = eventStreams.createEventSplitter()
     try {
       for await (const chunk of withStall(part, canResume ? STALL_MS : undefined)) {
         for (const event of splitter.push(chunk)) await pass(event)
-        if (call.stop.signal.aborted) return { kind: 'stopped', why: String(call.stop.signal.reason) }
+        if (call.aborter.signal.aborted) return { kind: 'stopped', why: String(call.aborter.signal.reason) }
       }
     } catch (err) {
-      if (call.stop.signal.aborted) return { kind: 'stopped', why: String(call.stop.signal.reason) }
+      if (call.aborter.signal.aborted) return { kind: 'stopped', why: String(call.aborter.signal.reason) }
       return { kind: 'broken', why: err instanceof Error ? err.message : String(err) }
     }
     if (!attempts.isComplete(answer)) return { kind: 'broken', why: 'the connection closed' }
-    if (splitter.held() > 0) return { kind: 'broken', why: 'the stream ended within an event' }
+    if (splitter.pendingBytes() > 0) return { kind: 'broken', why: 'the stream ended within an event' }
     return { kind: 'end' }
   }
 
   const onStop = (): void => { source.abort() }
-  call.stop.signal.addEventListener('abort', onStop)
+  call.aborter.signal.addEventListener('abort', onStop)
   try {
     while (true) {
       const end = await runPart(source)
@@ -114,13 +114,13 @@
           res.end()
           return { kind: 'done', outcome: resumedFrom === undefined ? '200' : '200 resumed' }
         case 'stopped':
-          breakOffs.breakOff(res)
+          abortResponses.abortResponse(res)
           return { kind: 'broken', outcome: `stopped: ${end.why}` }
         case 'broken': {
           if (!isStarted && resumedFrom === undefined) return { kind: 'unstarted', outcome: `lost: ${end.why}` }
-          const resumed: Resumed = canResume ? await opts.resume(lastId, restEndpoint ?? opts.endpoint) : { kind: 'none', why: 'the route does not allow to resume' }
+          const resumed: ResumeResult = canResume ? await opts.resume(lastId, restEndpoint ?? opts.endpoint) : { kind: 'none', why: 'the route does not allow to resume' }
           if (resumed.kind === 'none') {
-            breakOffs.breakOff(res)
+            abortResponses.abortResponse(res)
             return { kind: 'broken', outcome: `broken: ${end.why}; ${resumed.why}` }
           }
           if (restEndpoint !== undefined) restEndpoint.inFlight--
@@ -133,7 +133,7 @@
     }
   } finally {
     if (restEndpoint !== undefined) restEndpoint.inFlight--
-    call.stop.signal.removeEventListener('abort', onStop)
+    call.aborter.signal.removeEventListener('abort', onStop)
   }
 }
 
--- a/packages/forwarding/src/course.ts
+++ b/packages/forwarding/src/requestState.ts
@@ -1,20 +1,20 @@
 /** A request on its way from endpoint to endpoint: where it was sent, and how many endpoints may have run it. */
-import type * as answerClients from './answerClient.js'
+import type * as clientResponses from './clientResponse.js'
 import type * as clientCalls from './clientCall.js'
 import * as routeTables from './routeTable.js'
 
 /** A request on its way from endpoint to endpoint. */
-export interface Course {
+export interface RequestState {
   /** What makes it the same request when it is sent again. */
   readonly fingerprint: string
   /** Ids of the endpoints that were tried. */
   readonly tried: Set<string>
   /** Endpoints that read the request, whether they ran it or not. */
-  offers: number
+  sends: number
   /** Endpoints that may have run it, whatever they answered. */
   runs: number
   /** A failure that an endpoint answered, held back while a better answer is tried for. */
-  held: answerClients.HeldAnswer | undefined
+  fallback: clientResponses.BufferedResponse | undefined
 }
 
 /**
@@ -22,8 +22,8 @@
  * @param fingerprint what makes it the same request when it is sent again
  * @returns the course
  */
-export function createCourse (fingerprint: string): Course {
-  return { fingerprint, tried: new Set(), offers: 0, runs: 0, held: undefined }
+export function createRequestState (fingerprint: string): RequestState {
+  return { fingerprint, tried: new Set(), sends: 0, runs: 0, fallback: undefined }
 }
 
 /**
@@ -41,8 +41,8 @@
  * @param call the request
  * @param course its course
  */
-export function noteRun (call: clientCalls.ClientCall, course: Course): void {
-  course.offers++
+export function recordRun (call: clientCalls.ClientCall, course: RequestState): void {
+  course.sends++
   course.runs++
   call.mayHaveRun = true
 }
--- a/packages/forwarding/src/retryWindow.ts
+++ b/packages/forwarding/src/retryBudget.ts
@@ -6,7 +6,7 @@
 import * as numbers from './numbers.js'
 
 /** Bounds of the whole fleet. */
-export interface RetryBounds {
+export interface RetryBudgetOptions {
   /** Second sends for each request. */
   ratio: number
   /** Length of the window, milliseconds. */
@@ -16,11 +16,11 @@
 }
 
 /** The second sends of one service from one entry instance. */
-export interface RetryWindow {
+export interface RetryBudget {
   /** Notes a request. */
-  note (now: number): void
+  recordRequest (now: number): void
   /** Takes one second send. @returns whether there was one left */
-  spend (now: number, instances: number): boolean
+  trySpend (now: number, instances: number): boolean
 }
 
 /** Share of the bounds that is used: instances count windows that do not begin together. */
@@ -32,7 +32,7 @@
  * @param bounds bounds of the whole fleet
  * @returns the window
  */
-export function createRetryWindow (bounds: RetryBounds): RetryWindow {
+export function createRetryBudget (bounds: RetryBudgetOptions): RetryBudget {
   const slotMs = bounds.windowMs / SLOTS
   const requests = new Array<number>(SLOTS).fill(0)
   const sends = new Array<number>(SLOTS).fill(0)
@@ -49,11 +49,11 @@
   }
 
   return {
-    note (now) {
+    recordRequest (now) {
       turn(now)
       requests[slot % SLOTS]++
     },
-    spend (now, instances) {
+    trySpend (now, instances) {
       turn(now)
       const allowed = CAUTION * (bounds.ratio * numbers.sum(requests) + bounds.slack / Math.max(1, instances))
       if (numbers.sum(sends) + 1 > allowed) return false
--- a/packages/forwarding/src/routeTable.ts
+++ b/packages/forwarding/src/routeTable.ts
@@ -1,6 +1,6 @@
 /** The operators' document of the forwarding fleet: which requests go where, who may send them, and within which limits. */
 import * as z from 'zod'
-import * as urgencies from './urgency.js'
+import * as priorities from './priority.js'
 
 /**
  * What may be repeated: `idempotent` requests; `once` requests run at most once for each attempt of a client; `stream` answers
@@ -85,7 +85,7 @@
   hasAccounts: boolean
   accountOf: ReadonlyMap<string, ClientAccount>
   /** The ranks that occur among client accounts and among routes whose requests carry prompts. */
-  ranks: urgencies.Ranks
+  ranks: priorities.Ranks
   /** Routes of a host, longest prefix first. */
   routesOf: ReadonlyMap<string, readonly Route[]>
 }
@@ -95,7 +95,7 @@
  * @param table the document
  * @returns what to correct, or undefined if it can be obeyed
  */
-export function findFault (table: RouteTable): string | undefined {
+export function findTableError (table: RouteTable): string | undefined {
   const services = new Set(table.services.map(item => item.name))
   const places = new Set<string>()
   for (const item of table.routes) {
@@ -142,8 +142,8 @@
     hasAccounts: table.accounts !== null,
     accountOf,
     ranks: {
-      accounts: urgencies.toOrder((table.accounts ?? []).map(item => item.rank)),
-      routes: urgencies.toOrder(table.routes.filter(item => item.hasPrompt).map(item => item.rank))
+      accounts: priorities.toDistinctRanks((table.accounts ?? []).map(item => item.rank)),
+      routes: priorities.toDistinctRanks(table.routes.filter(item => item.hasPrompt).map(item => item.rank))
     },
     routesOf
   }
--- a/packages/forwarding/src/pickEndpoint.ts
+++ b/packages/forwarding/src/selectEndpoint.ts
@@ -6,17 +6,17 @@
 import * as numbers from './numbers.js'
 
 /** A request that no endpoint ran, or the rest of a stream, may be offered to this many of them. */
-export const MAX_OFFERS = 4
+export const MAX_SENDS = 4
 
 /** What came of the choice. */
-export type Pick =
-  | ({ kind: 'picked' } & Picked)
+export type Selection =
+  | ({ kind: 'picked' } & SelectedEndpoint)
   /** The request would wait too long wherever it may go, for this time at least. */
   | { kind: 'busy', delayMs: number }
   | { kind: 'none' }
 
 /** An endpoint with the reason for its choice and its load out of that of all. */
-export interface Picked { endpoint: endpointPools.Endpoint, why: string, /** Address of the endpoint whose cache may hold the prompt. */ fetchFrom: string | undefined }
+export interface SelectedEndpoint { endpoint: endpointPools.Endpoint, why: string, /** Address of the endpoint whose cache may hold the prompt. */ fetchFrom: string | undefined }
 
 /**
  * Chooses among the endpoints that were not tried yet.
@@ -25,23 +25,23 @@
  * @param delayLimitMs where the request would wait longer than this it is not sent, milliseconds
  * @returns the endpoint, or why there is none
  */
-export function pick (call: clientCalls.ClientCall, tried: ReadonlySet<string>, delayLimitMs: number): Pick {
+export function selectEndpoint (call: clientCalls.ClientCall, tried: ReadonlySet<string>, delayLimitMs: number): Selection {
   const { ctx, route } = call
   const now = ctx.now()
   const maxConnections = call.table.services.get(call.service)?.maxConnections ?? Infinity
-  const share = Math.max(2, Math.floor(maxConnections / ctx.exchange.instances()))
+  const share = Math.max(2, Math.floor(maxConnections / ctx.gossip.instanceCount()))
   const usable = ctx.pool.usable(call.service, now).map((item): chooseEndpoints.Candidate => ({
     id: item.id,
     zone: item.record.zone,
-    load: item.inFlight + item.foreign,
-    own: item.inFlight,
+    load: item.inFlight + item.peerInFlight,
+    ownInFlight: item.inFlight,
     slots: Math.max(1, item.record.slots),
     isCold: item.record.coldMs > 0,
-    delayMs: item.delay.expectedMs(now) ?? item.foreignDelayMs ?? 0,
-    room: share - item.inFlight,
+    delayMs: item.queueDelay.estimateMs(now) ?? item.peerQueueDelayMs ?? 0,
+    freeConnections: share - item.inFlight,
     ageMs: toAge(item)
   }))
-  const worse = ctx.outcomes.findWorse(call.service, usable, now)
+  const worse = ctx.outliers.findOutliers(call.service, usable, now)
   const candidates = usable.filter(item => !worse.has(item.id) && !tried.has(item.id))
   const affinity = route.hasPrompt ? toAffinity(admission.findHeader(call.req.rawHeaders, ctx.names.promptParts)) : undefined
   const choice = chooseEndpoints.chooseEndpoint(candidates, { affinity, zone: ctx.zone, delayLimitMs }, Math.random())
@@ -49,7 +49,7 @@
   const endpoint = ctx.pool.get(choice.id)
   if (endpoint === undefined) return { kind: 'none' }
   const source = affinity === undefined || call.table.services.get(call.service)?.canFetch !== true ? undefined : findSource(call, tried, affinity, endpoint.id)
-  const why = `${choice.why} ${endpoint.inFlight + endpoint.foreign}/${numbers.sum(candidates.map(item => item.load))}${source === undefined ? '' : ` from ${source.id}`}`
+  const why = `${choice.why} ${endpoint.inFlight + endpoint.peerInFlight}/${numbers.sum(candidates.map(item => item.load))}${source === undefined ? '' : ` from ${source.id}`}`
   return { kind: 'picked', endpoint, why, fetchFrom: source?.record.address }
 }
 
@@ -57,8 +57,8 @@
   const { ctx } = call
   const sources = ctx.pool.reachable(call.service, ctx.now())
     .filter(item => item.id === chosen || !tried.has(item.id))
-    .map((item): chooseEndpoints.Source => ({ id: item.id, ageMs: toAge(item) }))
-  const id = chooseEndpoints.chooseSource(sources, affinity, chosen)
+    .map((item): chooseEndpoints.CacheSource => ({ id: item.id, ageMs: toAge(item) }))
+  const id = chooseEndpoints.chooseCacheSource(sources, affinity, chosen)
   return id === undefined ? undefined : ctx.pool.get(id)
 }
 
