--- a/packages/contracts/src/announcements.ts
+++ b/packages/contracts/src/announcements.ts
@@ -1,7 +1,7 @@
-/** What endpoints tell the system: their announcements, and the answer that points them to their owner. */
+/** Messages between endpoints and router instances: announcements, their replies, and orders to engines. */
 import * as z from 'zod'
 
-/** A model as an engine carries it. */
+/** A model version that an engine serves. */
 export const servedModel = z.object({ model: z.string(), adapter: z.string(), version: z.string() })
 
 /** The body of `POST /v1/announcements`. */
@@ -9,45 +9,45 @@
   endpoint: z.string().min(1).max(200),
   service: z.string(),
   zone: z.string(),
-  /** IP number and port on which the endpoint serves. */
+  /** IP address on which the endpoint listens. */
   host: z.string(),
   port: z.int().min(1).max(65535),
-  /** Changes whenever the endpoint's process starts; grows. */
+  /** Identifies the endpoint's process; higher after each restart. */
   boot: z.int().nonnegative(),
-  /** Grows with each announcement of one boot. */
+  /** Increases with each announcement of one boot. */
   seq: z.int().nonnegative(),
   state: z.enum(['ready', 'leaving']),
-  /** How many requests it can run at once. */
+  /** Maximum number of concurrent requests. */
   slots: z.int().min(1).max(100000),
   weight: z.number().positive().max(100).default(1),
-  /** Requests that it runs or queues, as it last counted them (lags). */
+  /** Running and queued requests as counted by the endpoint; may lag behind the owner's count. */
   load: z.int().nonnegative(),
   carries: z.array(servedModel).default([]),
   checksFencing: z.boolean().default(false),
-  /** Highest fencing number of an order that it obeyed. */
+  /** Highest fencing number of an order that was applied. */
   fence: z.int().nonnegative().default(0),
-  /** Cache events since the last announcement that arrived; numbered, may have gaps. */
+  /** Cache events since the last acknowledged announcement; sequence numbers may have gaps. */
   cacheEvents: z.array(z.object({ seq: z.int(), op: z.enum(['stored', 'evicted']), chat: z.string() })).max(1000).default([])
 })
-/** An endpoint's announcement. */
+/** State that an endpoint reports about itself. */
 export type Announcement = z.infer<typeof announcement>
-/** A model as an engine carries it. */
+/** A model version that an engine serves. */
 export type ServedModel = z.infer<typeof servedModel>
 
-/** The answer to an announcement. */
+/** The response to an announcement. */
 export const announcementReply = z.object({
-  /** Where to send the next announcement: the endpoint's owner, or null to keep to any instance. */
+  /** Base URL for the next announcement: that of the endpoint's owner, or null if any instance will do. */
   owner: z.string().nullable(),
   intervalMs: z.int().positive()
 })
-/** The answer to an announcement. */
+/** The response to an announcement. */
 export type AnnouncementReply = z.infer<typeof announcementReply>
 
-/** The body of `POST /orders` at an engine: the wanted end state, so that a resend is harmless. */
+/** The body of `POST /orders` to an engine: the desired state, so that resending is idempotent. */
 export const order = z.object({
-  /** Fencing number: the configuration version the order follows. */
+  /** Fencing number: the configuration version that the order was derived from. */
   fence: z.int().nonnegative(),
   carries: z.array(servedModel)
 })
-/** An order to an engine. */
+/** Desired state of an engine. */
 export type Order = z.infer<typeof order>
--- a/packages/contracts/src/binary.ts
+++ b/packages/contracts/src/binary.ts
@@ -1,5 +1,5 @@
-/** Binary parts of messages. */
+/** Binary fields of messages. */
 import * as z from 'zod'
 
-/** Bytes as CBOR carries them. */
+/** A CBOR byte string. */
 export const bytes = z.custom<Uint8Array>(value => value instanceof Uint8Array, 'must be bytes')
--- a/packages/contracts/src/callerApi.ts
+++ b/packages/contracts/src/callerApi.ts
@@ -1,7 +1,7 @@
-/** What callers send: the OpenAI-style chat completion and the headers that the system understands. */
+/** The callers' API: OpenAI-compatible chat completions, request headers and the address lookup. */
 import * as z from 'zod'
 
-/** The parts of a chat completion request that routing reads; all other parts pass through untouched. */
+/** The fields of a chat completion request that routing reads; all others are forwarded unchanged. */
 export const chatRequest = z.looseObject({
   model: z.string().min(1).max(200),
   messages: z.array(z.looseObject({ role: z.string(), content: z.unknown() })).min(1).max(10000),
@@ -14,7 +14,7 @@
 /** A chat completion request. */
 export type ChatRequest = z.infer<typeof chatRequest>
 
-/** Request and response headers beside those of HTTP and of the OpenAI API. */
+/** Request and response headers in addition to those of HTTP and the OpenAI API. */
 export const HEADERS = {
   idempotencyKey: 'idempotency-key',
   chat: 'x-chat-id',
@@ -28,9 +28,9 @@
   shouldRetry: 'x-should-retry'
 } as const
 
-/** One address in the answer of `GET /v1/addresses`. */
+/** A router instance's address in the response of `GET /v1/addresses`. */
 export const address = z.object({ instance: z.string(), zone: z.string(), url: z.string() })
-/** The answer of `GET /v1/addresses`: best address first. */
+/** The response of `GET /v1/addresses`, sorted by preference. */
 export const addressList = z.object({ addresses: z.array(address), maxAgeSeconds: z.number() })
-/** The answer of `GET /v1/addresses`. */
+/** The response of `GET /v1/addresses`, sorted by preference. */
 export type AddressList = z.infer<typeof addressList>
--- a/packages/contracts/src/constants.ts
+++ b/packages/contracts/src/constants.ts
@@ -1,49 +1,49 @@
 /**
- * Named constants that more than one package relies on. Every time is in milliseconds, every size in bytes.
+ * Constants shared by several packages. Times are in milliseconds and sizes in bytes unless the name has another unit.
  *
- * The lease times depend on each other: {@link LEASE_MS} must be longer than two renewals plus one election, so that
- * the loss of one control leader does not take an instance out of service.
+ * {@link LEASE_MS} must exceed two renewal intervals plus one election, so that the loss of one control leader does not
+ * take an instance out of service.
  */
 
-/** How long an instance may dispatch after the moment it SENT the renewal that was granted. */
+/** Validity of a lease, counted from the moment the instance SENT the renewal that was granted. */
 export const LEASE_MS = 5000
-/** How often an instance renews its lease. */
+/** Interval between lease renewals. */
 export const LEASE_RENEW_INTERVAL_MS = 1000
-/** Added to a lease by the control leader before it removes the holder: covers differing clock rates. */
+/** Margin for clock drift that the control leader adds to a lease before it removes the holder. */
 export const LEASE_MARGIN_MS = 500
 
-/** How often the leader of a replica group sends to a follower that has nothing new to get. */
+/** Interval between a leader's heartbeats to a follower that is up to date. */
 export const HEARTBEAT_INTERVAL_MS = 250
-/** Shortest silence of the leader after which a replica stands for election. */
+/** Lower bound of the randomized election timeout. */
 export const ELECTION_TIMEOUT_MIN_MS = 1000
-/** Longest silence of the leader after which a replica stands for election. */
+/** Upper bound of the randomized election timeout. */
 export const ELECTION_TIMEOUT_MAX_MS = 2000
 
-/** A link with calls outstanding is pinged when nothing came for this long. */
+/** A busy link is pinged after this long without received data. */
 export const LINK_PING_MS = 700
-/** A link on which nothing came for this long, in spite of pings, is destroyed. */
+/** A pinged link is destroyed after this long without received data. */
 export const LINK_TIMEOUT_MS = 2100
-/** An idle link without outstanding calls is pinged this often. */
+/** A link that is not busy is pinged after this long without received data. */
 export const LINK_IDLE_PING_MS = 15_000
-/** The largest frame that a link accepts. */
+/** Maximum size of a frame on a link. */
 export const MAX_FRAME_BYTES = 16 * 1024 * 1024
 
-/** The largest request body that an instance accepts from a caller. */
+/** Maximum size of a caller's request body. */
 export const MAX_BODY_BYTES = 4 * 1024 * 1024
-/** The largest configuration document that an operator may send. */
+/** Maximum size of a configuration document. */
 export const MAX_DOCUMENT_BYTES = 8 * 1024 * 1024
 
-/** How long a caller may keep an answer of the address lookup. */
+/** How long callers may cache the response of the address lookup. */
 export const ADDRESS_MAX_AGE_MS = 3000
-/** How often an endpoint announces itself at most; an owner of many endpoints asks each for fewer announcements. */
+/** Minimum interval between announcements of an endpoint; an owner of many endpoints requests a longer one. */
 export const ANNOUNCE_INTERVAL_MS = 1000
-/** What announcements may cost an owner, bytes a second. */
+/** Bandwidth budget of an owner for the announcements of all its endpoints. */
 export const ANNOUNCE_BUDGET_BYTES_PER_SECOND = 3000
-/** Size of an announcement with its HTTP headers, for that budget. */
+/** Assumed size of an announcement including its HTTP headers. */
 export const ANNOUNCE_BYTES = 600
-/** An endpoint that is silent for this many of its intervals gets no new work. */
+/** An endpoint without an announcement for this many intervals is unresponsive and receives no new work. */
 export const ANNOUNCE_TIMEOUT_INTERVALS = 3.5
-/** A stream on which an engine sends nothing (not even a keep-alive) for this long is given up. */
+/** A stream is abandoned after this long without data, including keep-alives, from the engine. */
 export const STREAM_IDLE_TIMEOUT_MS = 2500
-/** How often an engine writes a keep-alive comment into a stream that has no token ready. */
+/** Interval between keep-alive comments that an engine writes while no token is ready. */
 export const STREAM_KEEPALIVE_INTERVAL_MS = 500
--- a/packages/contracts/src/controlMessages.ts
+++ b/packages/contracts/src/controlMessages.ts
@@ -4,31 +4,31 @@
 import * as delta from './documentDelta.js'
 import * as fleet from './fleet.js'
 
-/** How a document reaches an instance: all of it, or the entries that differ from the version it has. */
+/** A configuration document sent to an instance: in full, or as a delta from the version that the instance has. */
 export const documentUpdate = z.object({
   version: z.int().nonnegative(),
   whole: z.unknown().optional(),
   baseVersion: z.int().optional(),
   changes: z.array(delta.change).optional()
 })
-/** How a document reaches an instance. */
+/** A full configuration document or a delta. */
 export type DocumentUpdate = z.infer<typeof documentUpdate>
 
-/** The outcome of a non-idempotent call, as the ledger keeps it. */
+/** The recorded response of a non-idempotent call. */
 export const storedAnswer = z.object({ status: z.int(), contentType: z.string(), body: binary.bytes })
-/** The outcome of a non-idempotent call, as the ledger keeps it. */
+/** The recorded response of a non-idempotent call. */
 export type StoredAnswer = z.infer<typeof storedAnswer>
 
 const operator = { operator: z.string(), operation: z.string() }
 
-/** What is asked of a control instance. */
+/** A call to a control instance. */
 export const controlCall = z.discriminatedUnion('t', [
   z.object({
     t: z.literal('renew'),
     id: z.string(),
     incarnation: z.int().nonnegative(),
     leaving: z.boolean(),
-    /** Sent when joining; later renewals name the instance only. */
+    /** Present when joining; later renewals identify the instance by `id` and `incarnation` only. */
     instance: fleet.instance.optional(),
     viewSeen: z.int(),
     documentVersion: z.int(),
@@ -44,10 +44,10 @@
   z.object({ t: z.literal('documentHistory') }),
   z.object({ t: z.literal('status') })
 ])
-/** What is asked of a control instance. */
+/** A call to a control instance. */
 export type ControlCall = z.infer<typeof controlCall>
 
-/** What the ledger answers to a begin. */
+/** The ledger's state of an idempotency key. */
 export const ledgerKeyState = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('begun') }),
   z.object({ kind: z.literal('started'), attempt: z.string(), startedAt: z.number() }),
@@ -56,15 +56,15 @@
   z.object({ kind: z.literal('expired'), retentionHours: z.number() }),
   z.object({ kind: z.literal('ahead') })
 ])
-/** What the ledger answers to a begin. */
+/** The ledger's state of an idempotency key. */
 export type LedgerKeyState = z.infer<typeof ledgerKeyState>
 
-/** One accepted version of the document. */
+/** An accepted version of the configuration document. */
 export const historyItem = z.object({ version: z.int(), operator: z.string(), operation: z.string(), atMs: z.number(), changes: z.int() })
-/** One accepted version of the document. */
+/** An accepted version of the configuration document. */
 export type HistoryItem = z.infer<typeof historyItem>
 
-/** The fleet as the control leader knows it. */
+/** Status of the fleet as seen by the control leader. */
 export const fleetStatus = z.object({
   leader: z.string(),
   term: z.int(),
@@ -74,10 +74,10 @@
   pools: z.array(fleet.poolLoad),
   replicas: z.array(z.object({ group: z.string(), name: z.string(), role: z.string(), term: z.int(), commit: z.int(), voters: z.array(z.string()), learners: z.array(z.string()) }))
 })
-/** The fleet as the control leader knows it. */
+/** Status of the fleet as seen by the control leader. */
 export type FleetStatus = z.infer<typeof fleetStatus>
 
-/** What a control instance answers. */
+/** The reply to a {@link ControlCall}. */
 export const controlReply = z.discriminatedUnion('t', [
   z.object({ t: z.literal('notLeader'), leader: z.string().nullable() }),
   z.object({
@@ -86,7 +86,7 @@
     incarnation: z.int(),
     view: fleet.viewUpdate,
     document: documentUpdate.optional(),
-    /** What all other instances have in flight. */
+    /** Load of all other instances. */
     pools: z.array(fleet.poolLoad),
     limits: z.array(z.object({ account: z.string(), share: z.number() }))
   }),
@@ -100,10 +100,10 @@
   z.object({ t: z.literal('history'), items: z.array(historyItem) }),
   z.object({ t: z.literal('status'), status: fleetStatus })
 ])
-/** What a control instance answers. */
+/** The reply to a {@link ControlCall}. */
 export type ControlReply = z.infer<typeof controlReply>
 
-/** What a control leader sends an instance unasked, and an instance a control leader. */
+/** An event between the control leader and an instance, in either direction. */
 export const controlEvent = z.discriminatedUnion('t', [
   z.object({ t: z.literal('view'), view: fleet.viewUpdate }),
   z.object({ t: z.literal('document'), document: documentUpdate }),
@@ -111,5 +111,5 @@
   z.object({ t: z.literal('loads'), instance: z.string(), incarnation: z.int(), loads: z.array(fleet.poolLoad), isUrgent: z.boolean() }),
   z.object({ t: z.literal('viewSeen'), instance: z.string(), incarnation: z.int(), viewSeen: z.int(), documentVersion: z.int() })
 ])
-/** What a control leader sends an instance unasked, and an instance a control leader. */
+/** An event between the control leader and an instance, in either direction. */
 export type ControlEvent = z.infer<typeof controlEvent>
--- a/packages/contracts/src/digest.ts
+++ b/packages/contracts/src/digest.ts
@@ -1,24 +1,12 @@
-/**
- * Digests of texts and secrets. They stand apart from other hashes, whose library is native code that a control instance does not
- * need, and that it would load at each start.
- */
+/** SHA-256 digests, separate from hashing.ts so that control instances do not load its native library. */
 import * as crypto from 'node:crypto'
 
-/**
- * SHA-256 of a text in lower-case hexadecimal; the form in which tokens stand in the document.
- * @param text the secret or body
- * @returns 64 hexadecimal digits
- */
+/** Returns the SHA-256 digest in lower-case hexadecimal, the form in which the configuration document stores tokens. */
 export function sha256 (text: string | Uint8Array): string {
   return crypto.createHash('sha256').update(text).digest('hex')
 }
 
-/**
- * Compares two strings in constant time, so that a response time tells nothing about a secret.
- * @param left one string
- * @param right the other
- * @returns whether they are equal
- */
+/** Compares two secrets of equal length in constant time. */
 export function isSameSecret (left: string, right: string): boolean {
   const a = Buffer.from(left)
   const b = Buffer.from(right)
--- a/packages/contracts/src/documentDelta.ts
+++ b/packages/contracts/src/documentDelta.ts
@@ -1,28 +1,20 @@
-/**
- * Differences between two documents, entry by entry. At the size we design for a document is near a megabyte and changes
- * 9,700 times a day; instances therefore get the entries that differ and not the document.
- */
+/** Deltas between versions of the configuration document, sent to instances instead of the full document. */
 import * as z from 'zod'
 import * as doc from './document.js'
 
 const PARTS = ['zones', 'priorities', 'services', 'models', 'carriages', 'clientAccounts', 'patience', 'operators'] as const
 const SCALARS = ['deployment', 'timeZone', 'ledger'] as const
 
-/** One difference: an entry set or removed, or a scalar part replaced. */
+/** A change of a delta: an entry set or removed, or a scalar part replaced. */
 export const change = z.discriminatedUnion('op', [
   z.object({ op: z.literal('set'), part: z.enum(PARTS), id: z.string(), value: z.unknown() }),
   z.object({ op: z.literal('remove'), part: z.enum(PARTS), id: z.string() }),
   z.object({ op: z.literal('replace'), part: z.enum(SCALARS), value: z.unknown() })
 ])
-/** One difference between two documents. */
+/** A change of a delta. */
 export type Change = z.infer<typeof change>
 
-/**
- * Lists what turns one document into another.
- * @param from the older document
- * @param to the newer document
- * @returns the differences, in a stable order
- */
+/** Returns the changes that turn one document into another, in a stable order. */
 export function diffDocuments (from: doc.Document, to: doc.Document): Change[] {
   const changes: Change[] = []
   for (const part of SCALARS) {
@@ -41,12 +33,7 @@
   return changes
 }
 
-/**
- * Applies differences; the given document is left as it is.
- * @param from the document they were taken against
- * @param changes what {@link diffDocuments} listed
- * @returns the newer document
- */
+/** Returns a copy of a document with the changes of {@link diffDocuments} applied. */
 export function applyChanges (from: doc.Document, changes: readonly Change[]): doc.Document {
   const to: Record<string, unknown> = { ...from }
   for (const part of PARTS) to[part] = { ...from[part] }
--- a/packages/contracts/src/errors.ts
+++ b/packages/contracts/src/errors.ts
@@ -1,12 +1,9 @@
-/**
- * Every error that a caller or operator can meet, as one tagged union. The table gives each kind its HTTP status and
- * whether the request ran; `describe` words the remedy.
- */
+/** Errors reported to callers and operators: their kinds, HTTP statuses, messages and response bodies. */
 
-/** Whether a request ran: `no` is a promise, `unknown` says that it cannot be promised either way. */
+/** Whether a request ran: `no` and `yes` are guaranteed, `unknown` is used where neither can be guaranteed. */
 export type Ran = 'no' | 'yes' | 'unknown'
 
-/** An error, by kind, with what is needed to word its remedy. */
+/** An error reported to a caller or operator, discriminated by kind. */
 export type Failure =
   | { kind: 'unauthenticated', what: string }
   | { kind: 'forbidden', what: string }
@@ -36,10 +33,10 @@
   | { kind: 'invalid_document', faults: Array<{ path: string, message: string }> }
   | { kind: 'internal', detail: string }
 
-/** The name of an error. */
+/** The kind of a {@link Failure}. */
 export type FailureKind = Failure['kind']
 
-const STATUS: Record<FailureKind, number> = {
+const STATUS_BY_KIND: Record<FailureKind, number> = {
   unauthenticated: 401,
   forbidden: 403,
   bad_request: 400,
@@ -69,11 +66,7 @@
   internal: 500
 }
 
-/**
- * Says whether the request behind an error ran.
- * @param failure the error
- * @returns `no` only where the system promises it
- */
+/** Returns whether the failed request ran; `no` only where that is guaranteed. */
 export function toRan (failure: Failure): Ran {
   switch (failure.kind) {
     case 'ledger_unavailable':
@@ -93,75 +86,58 @@
   }
 }
 
-/**
- * The HTTP status of an error.
- * @param failure the error
- * @returns a status code
- */
+/** Returns the HTTP status of a failure. */
 export function toStatus (failure: Failure): number {
   if (failure.kind === 'endpoint_error') return failure.status
-  return STATUS[failure.kind]
+  return STATUS_BY_KIND[failure.kind]
 }
 
-/**
- * When the caller should come back.
- * @param failure the error
- * @returns milliseconds, or undefined where coming back does not help
- */
+/** Returns the delay before a retry in milliseconds, or undefined if a retry does not help. */
 export function toRetryAfterMs (failure: Failure): number | undefined {
   return 'retryAfterMs' in failure ? failure.retryAfterMs : undefined
 }
 
-/**
- * Words an error for a person: what happened, and what to do.
- * @param failure the error
- * @returns one or two sentences
- */
+/** Returns a message for people: what failed and what to do about it. */
 export function describe (failure: Failure): string {
   switch (failure.kind) {
-    case 'unauthenticated': return `${failure.what}. Send the header "Authorization: Bearer <token>" with a token that stands in the document.`
-    case 'forbidden': return `${failure.what}. Ask an operator to allow it in the document.`
+    case 'unauthenticated': return `${failure.what}. Send the header "Authorization: Bearer <token>" with a token that is listed in the configuration document.`
+    case 'forbidden': return `${failure.what}. Ask an operator to allow it in the configuration document.`
     case 'bad_request': return failure.detail
-    case 'not_found': return `There is no ${failure.what} here. See the README for the paths.`
-    case 'body_too_large': return `The body is larger than ${failure.limitBytes} bytes. Send a shorter request.`
-    case 'unknown_model': return `No model "${failure.model}" stands in the document for this client account. GET /v1/models lists the ones it may use.`
-    case 'unknown_service': return `No service or call "${failure.service}" stands in the document for this client account. Check the path.`
-    case 'key_required': return 'This call is not idempotent and needs the header "Idempotency-Key" with a UUIDv7. It did not run.'
-    case 'key_invalid': return `The Idempotency-Key is not usable: ${failure.detail}. Make a fresh UUIDv7 for each new call and keep it for resends. It did not run.`
-    case 'key_expired': return `The Idempotency-Key is older than the ${failure.retentionHours} h for which outcomes are kept, so a repeat could not be told from a new call. It did not run now; check the earlier outcome, then use a new key.`
-    case 'key_reused': return 'The Idempotency-Key was used before with another body. It did not run; use a new key for a new call.'
-    case 'outcome_unknown': return `The call with this Idempotency-Key was started at ${failure.startedAt} and its outcome is unknown. It will not be repeated. Look at the service's own records, or ask an operator for "explain" with the request id.`
-    case 'answer_not_kept': return `The call with this Idempotency-Key ran and finished at ${failure.finishedAt}, but its answer was too large to keep. It will not be repeated.`
-    case 'account_limit': return `The client account is over its requests per second. It did not run; come back in ${seconds(failure.retryAfterMs)} s.`
-    case 'overloaded': return `All endpoints are at their limit. It did not run; come back in ${seconds(failure.retryAfterMs)} s.`
-    case 'patience_over': return `The wait would be longer than this priority's patience at this hour. It did not run; come back in ${seconds(failure.retryAfterMs)} s.`
-    case 'no_endpoint': return `No endpoint of "${failure.pool}" is ready. It did not run; come back in ${seconds(failure.retryAfterMs)} s.`
-    case 'not_serving': return `This instance is not serving (${failure.detail}). It did not run; use another address: ${failure.addresses.join(', ') || 'ask GET /v1/addresses elsewhere'}.`
-    case 'ledger_unavailable': return `The ledger cannot be reached, so the call cannot be recorded. ${failure.ran === 'no' ? 'It did not run; resend' : 'Resend with the same Idempotency-Key'} in ${seconds(failure.retryAfterMs)} s.`
-    case 'endpoint_lost': return `The endpoint was lost (${failure.detail}). ${failure.ran === 'no' ? 'It did not run; resend it.' : 'Whether it ran is unknown.'}`
-    case 'answer_cut': return `The answer was cut (${failure.detail}) and could not be resumed. What came so far is not the whole answer; ask again.`
-    case 'endpoint_error': return `The endpoint answered with status ${failure.status}: ${failure.detail}`
-    case 'request_quarantined': return `This request was running on ${failure.deaths} endpoints when they died, so it is held back. It is not tried again now; change it, or come back in ${seconds(failure.retryAfterMs)} s.`
+    case 'not_found': return `Not found: ${failure.what}. See the README for the available paths.`
+    case 'body_too_large': return `The body exceeds the limit of ${failure.limitBytes} bytes. Send a smaller request.`
+    case 'unknown_model': return `Model "${failure.model}" is not available to this client account. GET /v1/models lists the available models.`
+    case 'unknown_service': return `Service or call "${failure.service}" is not available to this client account. Check the path.`
+    case 'key_required': return 'This call is not idempotent and requires the header "Idempotency-Key" with a UUIDv7. It did not run.'
+    case 'key_invalid': return `The Idempotency-Key is invalid: ${failure.detail}. Generate a new UUIDv7 for each call and reuse it only for retries of that call. It did not run.`
+    case 'key_expired': return `The Idempotency-Key is older than the retention period of ${failure.retentionHours} h, so a retry cannot be distinguished from a new call. It did not run now; check the outcome of the earlier call, then use a new key.`
+    case 'key_reused': return 'The Idempotency-Key was already used with a different body. It did not run; use a new key for a new call.'
+    case 'outcome_unknown': return `The call with this Idempotency-Key was started at ${failure.startedAt} and its outcome is unknown. It will not be repeated. Check the service's own records, or ask an operator to run "explain" with the request id.`
+    case 'answer_not_kept': return `The call with this Idempotency-Key ran and finished at ${failure.finishedAt}, but its response was too large to store. It will not be repeated.`
+    case 'account_limit': return `The client account exceeded its rate limit. The request did not run; retry in ${toSeconds(failure.retryAfterMs)} s.`
+    case 'overloaded': return `All endpoints are at their load limit. The request did not run; retry in ${toSeconds(failure.retryAfterMs)} s.`
+    case 'patience_over': return `The request cannot start within its maximum wait. It did not run; retry in ${toSeconds(failure.retryAfterMs)} s.`
+    case 'no_endpoint': return `No endpoint of "${failure.pool}" is ready. The request did not run; retry in ${toSeconds(failure.retryAfterMs)} s.`
+    case 'not_serving': return `This instance is not serving (${failure.detail}). The request did not run; use another address: ${failure.addresses.join(', ') || 'see GET /v1/addresses of another instance'}.`
+    case 'ledger_unavailable': return `The ledger is unavailable, so the call cannot be recorded. ${failure.ran === 'no' ? 'It did not run; retry' : 'Retry with the same Idempotency-Key'} in ${toSeconds(failure.retryAfterMs)} s.`
+    case 'endpoint_lost': return `The endpoint was lost (${failure.detail}). ${failure.ran === 'no' ? 'The request did not run; retry it.' : 'Whether the request ran is unknown.'}`
+    case 'answer_cut': return `The response was interrupted (${failure.detail}) and could not be resumed. The received part is incomplete; send the request again.`
+    case 'endpoint_error': return `The endpoint responded with status ${failure.status}: ${failure.detail}`
+    case 'request_quarantined': return `This request was in flight on ${failure.deaths} endpoints when they crashed and is quarantined. It is not retried; change it, or retry in ${toSeconds(failure.retryAfterMs)} s.`
     case 'cancelled': return 'The caller closed the connection.'
-    case 'conflict': return `The document was changed meanwhile: yours is based on version ${failure.baseVersion}, in force is ${failure.currentVersion}. Get the current one, merge, put again.`
+    case 'conflict': return `The document was changed concurrently: the submitted one is based on version ${failure.baseVersion}, the current version is ${failure.currentVersion}. Get the current document, merge the changes and submit it again.`
     case 'invalid_document': return `The document has ${failure.faults.length} fault(s): ${failure.faults.slice(0, 20).map(f => `${f.path}: ${f.message}`).join('; ')}`
     case 'internal': return `Internal error: ${failure.detail}. Report it with the request id.`
   }
 }
 
-function seconds (ms: number): number {
+function toSeconds (ms: number): number {
   return Math.max(1, Math.ceil(ms / 1000))
 }
 
-/** The body of an error answer, in the shape that OpenAI clients read. */
+/** The body of an error response, in the format of the OpenAI API. */
 export interface ErrorBody { error: { message: string, type: string, code: string, param: null, ran: Ran, request_id?: string, retry_after_ms?: number, addresses?: string[], faults?: Array<{ path: string, message: string }>, current_version?: number } }
 
-/**
- * Builds the body of an error answer.
- * @param failure the error
- * @param requestId the request it belongs to
- * @returns the body, in the shape that OpenAI clients read
- */
+/** Converts a failure to the body of an error response. */
 export function toErrorBody (failure: Failure, requestId?: string): ErrorBody {
   return {
     error: {
@@ -179,22 +155,15 @@
   }
 }
 
-/** A {@link Failure} on its way up the call stack. */
+/** Wraps a {@link Failure} so that it can be thrown. */
 export class FailureError extends Error {
-  /**
-   * @param failure what went wrong
-   */
   constructor (readonly failure: Failure) {
     super(describe(failure))
     this.name = 'FailureError'
   }
 }
 
-/**
- * Turns anything thrown into a {@link Failure}.
- * @param err what was caught
- * @returns the failure it carries, or kind `internal`
- */
+/** Converts a caught value to a {@link Failure}: that of a {@link FailureError}, else one of kind `internal`. */
 export function toFailure (err: unknown): Failure {
   if (err instanceof FailureError) return err.failure
   return { kind: 'internal', detail: err instanceof Error ? err.message : String(err) }
--- a/packages/contracts/src/index.ts
+++ b/packages/contracts/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of the contracts: schemas, messages, errors, events, constants and hash helpers. */
+/** Public API of the contracts package. */
 export * from './announcements.js'
 export * from './binary.js'
 export * from './callerApi.js'
