--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of telemetry: log, metrics and invariants. */
+/** Public API of the telemetry package: log, metrics and invariants. */
 export * from './invariantMetrics.js'
 export * from './invariants.js'
 export * from './lineWriter.js'
--- a/packages/telemetry/src/lineWriter.ts
+++ b/packages/telemetry/src/lineWriter.ts
@@ -1,39 +1,35 @@
-/** Writes lines to standard output in batches, without ever waiting for the reader: what it cannot take is left out. */
+/** Batched, non-blocking line output with a bounded buffer; lines are dropped while the buffer is full. */
 import * as fs from 'node:fs'
 
-/** Writes lines. */
+/** A buffered writer of lines. */
 export interface LineWriter {
   write: (line: string) => void
-  /** @returns lines that were left out so far */
+  /** Number of lines dropped so far. */
   dropped: () => number
-  /** Writes what is held. */
+  /** Writes the buffered lines. */
   flush: () => Promise<void>
 }
 
-/** Lines that are held while standard output is not taken; beyond that they are left out, so that memory stays bounded. */
-const MAX_HELD_BYTES = 256 * 1024
-/** Lines are written together so often: one system call for many lines. */
-const BATCH_MS = 100
-const STDOUT = 1
+/** Size of the buffer; further lines are dropped until it has been written. */
+const MAX_BUFFERED_BYTES = 256 * 1024
+/** Delay before buffered lines are written together. */
+const FLUSH_DELAY_MS = 100
+const STDOUT_FD = 1
 
-/**
- * Creates a writer.
- * @param fd file descriptor to write to
- * @returns the writer
- */
-export function createLineWriter (fd: number = STDOUT): LineWriter {
-  let held: string[] = []
-  let heldBytes = 0
+/** Creates a writer to a file descriptor. */
+export function createLineWriter (fd: number = STDOUT_FD): LineWriter {
+  let buffer: string[] = []
+  let bufferedBytes = 0
   let dropped = 0
-  let told = 0
+  let reportedDropped = 0
   let writing: Promise<void> | undefined
   let timer: NodeJS.Timeout | undefined
 
   const writeAll = async (bytes: Buffer): Promise<void> => {
-    let at = 0
-    while (at < bytes.length) {
-      at += await new Promise<number>((resolve, reject) => {
-        fs.write(fd, bytes, at, bytes.length - at, null, (err, count) => { err === null ? resolve(count) : reject(err) })
+    let offset = 0
+    while (offset < bytes.length) {
+      offset += await new Promise<number>((resolve, reject) => {
+        fs.write(fd, bytes, offset, bytes.length - offset, null, (err, count) => { err === null ? resolve(count) : reject(err) })
       })
     }
   }
@@ -45,30 +41,30 @@
       await writing
       return
     }
-    if (held.length === 0) return
-    if (dropped > told) {
-      held.push(JSON.stringify({ event: 'linesDropped', dropped: dropped - told }))
-      told = dropped
+    if (buffer.length === 0) return
+    if (dropped > reportedDropped) {
+      buffer.push(JSON.stringify({ event: 'linesDropped', dropped: dropped - reportedDropped }))
+      reportedDropped = dropped
     }
-    const bytes = Buffer.from(held.join('\n') + '\n')
-    held = []
-    heldBytes = 0
-    // A reader that is gone is no reason to stop serving: the lines are counted as left out.
+    const bytes = Buffer.from(buffer.join('\n') + '\n')
+    buffer = []
+    bufferedBytes = 0
+    // A closed output must not stop the process; a failed batch counts as one dropped line.
     writing = writeAll(bytes).catch(() => { dropped++ }).finally(() => { writing = undefined })
     await writing
-    if (held.length > 0) schedule()
+    if (buffer.length > 0) schedule()
   }
 
-  const schedule = (): void => { timer ??= setTimeout(() => { void flush() }, BATCH_MS) }
+  const schedule = (): void => { timer ??= setTimeout(() => { void flush() }, FLUSH_DELAY_MS) }
 
   return {
     write (line) {
-      if (heldBytes + line.length > MAX_HELD_BYTES) {
+      if (bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
         dropped++
         return
       }
-      held.push(line)
-      heldBytes += line.length
+      buffer.push(line)
+      bufferedBytes += line.length
       schedule()
     },
     dropped: () => dropped,
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -1,39 +1,33 @@
-/** Numbered log events through consola: one line an event, as text or JSON, with secrets left out. */
+/** Log of numbered events through consola: one line per event, as text or JSON, with secrets redacted. */
 import * as consola from 'consola/core'
 import * as contracts from '@kingcupdeck/contracts'
 
-/** The facts that go with an event. */
+/** Fields of an event. */
 export type Fields = Record<string, string | number | boolean | null | undefined>
 
 /** Writes numbered events. */
 export interface Log {
-  /**
-   * Logs an event of the catalogue.
-   * @param name the event
-   * @param fields its facts
-   */
+  /** Logs an event of the catalogue. */
   event (name: contracts.EventName, fields?: Fields): void
 }
 
-/** How a log is written. */
+/** Options of {@link createLog}. */
 export interface LogOptions {
-  /** Name of the process, on every line. */
+  /** Name of the process, included in every line. */
   instance: string
-  /** One JSON object a line. */
+  /** Whether to write one JSON object per line instead of text. */
   json?: boolean
-  /** The least grave level that is written. */
+  /** The lowest severity that is written. */
   level?: contracts.Level | 'silent'
-  /** Where lines go; standard error when absent. */
+  /** Writes a line; standard error by default. */
   write?: (line: string) => void
 }
 
-const LEVELS = { error: 0, warn: 1, info: 3, silent: -999 }
+const CONSOLA_LEVELS = { error: 0, warn: 1, info: 3, silent: -999 }
 const SECRET_NAMES = /token|secret|authorization|password/i
 
 /**
  * Creates a log.
- * @param opts how it is written
- * @returns the log
  * @example
  * const log = createLog({ instance: 'r1', json: true })
  * log.event('started', { port: 8080 })
@@ -41,9 +35,9 @@
 export function createLog (opts: LogOptions): Log {
   const write = opts.write ?? ((line: string) => { process.stderr.write(line + '\n') })
   const format = opts.json ? toJsonLine : toTextLine
-  const out = consola.createConsola({
-    level: LEVELS[opts.level ?? 'info'],
-    // Lines that resemble each other are different decisions: none is folded into another.
+  const logger = consola.createConsola({
+    level: CONSOLA_LEVELS[opts.level ?? 'info'],
+    // Disables consola's merging of similar lines.
     throttle: 0,
     reporters: [{ log: entry => { write(format(opts.instance, entry.date, entry.args[0] as Entry)) } }]
   })
@@ -51,7 +45,7 @@
     event (name, fields = {}) {
       const spec = contracts.EVENTS[name]
       const entry: Entry = { name, code: spec.code, level: spec.level, text: spec.text, fields: redact(fields) }
-      out[spec.level](entry)
+      logger[spec.level](entry)
     }
   }
 }
@@ -59,11 +53,11 @@
 interface Entry { name: string, code: number, level: contracts.Level, text: string, fields: Fields }
 
 function redact (fields: Fields): Fields {
-  const kept: Fields = {}
+  const redacted: Fields = {}
   for (const [key, value] of Object.entries(fields)) {
-    if (value !== undefined) kept[key] = SECRET_NAMES.test(key) ? '(left out)' : value
+    if (value !== undefined) redacted[key] = SECRET_NAMES.test(key) ? '(left out)' : value
   }
-  return kept
+  return redacted
 }
 
 function toJsonLine (instance: string, date: Date, entry: Entry): string {
@@ -71,6 +65,6 @@
 }
 
 function toTextLine (instance: string, date: Date, entry: Entry): string {
-  const facts = Object.entries(entry.fields).map(([key, value]) => `${key}=${String(value)}`).join(' ')
-  return `${date.toISOString()} ${instance} ${entry.level} K${entry.code} ${entry.text}${facts === '' ? '' : ' ' + facts}`
+  const fieldText = Object.entries(entry.fields).map(([key, value]) => `${key}=${String(value)}`).join(' ')
+  return `${date.toISOString()} ${instance} ${entry.level} K${entry.code} ${entry.text}${fieldText === '' ? '' : ' ' + fieldText}`
 }
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,13 +1,13 @@
-/** The metrics of a process, with labels that cannot grow without bound. */
+/** Metrics of router and control instances, with bounded label values. */
 import * as prom from 'prom-client'
 
-const SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.37, 0.5, 1, 2, 5, 10, 30, 60]
-/** How many client accounts get a label of their own; the rest share {@link OTHER_LABEL}. At the size we design for: 3,200. */
+const BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.37, 0.5, 1, 2, 5, 10, 30, 60]
+/** Maximum number of client accounts with their own label; the rest share {@link OTHER_LABEL}. */
 const MAX_ACCOUNT_LABELS = 200
-/** Label of the client accounts beyond the bound. */
+/** Label shared by all values beyond the limit. */
 export const OTHER_LABEL = 'other'
 
-/** The metrics of a router instance. */
+/** Metrics of a router instance. */
 export interface RouterMetrics {
   registry: prom.Registry
   firstToken: prom.Histogram<'account' | 'priority'>
@@ -22,20 +22,17 @@
   toAccountLabel: (account: string) => string
 }
 
-/**
- * Creates the metrics of a router instance.
- * @returns the metrics and their registry
- */
+/** Creates the metrics of a router instance in a new registry. */
 export function createRouterMetrics (): RouterMetrics {
   const registry = new prom.Registry()
   prom.collectDefaultMetrics({ register: registry })
   const registers = [registry]
   return {
     registry,
-    firstToken: new prom.Histogram({ name: 'kingcupdeck_first_token_seconds', help: 'From the request to the first token sent, per client account and priority', labelNames: ['account', 'priority'], buckets: SECONDS, registers }),
-    duration: new prom.Histogram({ name: 'kingcupdeck_request_seconds', help: 'From the request to its end, per client account and priority', labelNames: ['account', 'priority'], buckets: SECONDS, registers }),
+    firstToken: new prom.Histogram({ name: 'kingcupdeck_first_token_seconds', help: 'From the request to the first token sent, per client account and priority', labelNames: ['account', 'priority'], buckets: BUCKETS_SECONDS, registers }),
+    duration: new prom.Histogram({ name: 'kingcupdeck_request_seconds', help: 'From the request to its end, per client account and priority', labelNames: ['account', 'priority'], buckets: BUCKETS_SECONDS, registers }),
     betweenTokens: new prom.Histogram({ name: 'kingcupdeck_between_tokens_seconds', help: 'Between two chunks of an answer, per priority', labelNames: ['priority'], buckets: [0.005, 0.01, 0.02, 0.033, 0.05, 0.1, 0.5, 1, 5], registers }),
-    queued: new prom.Histogram({ name: 'kingcupdeck_queued_seconds', help: 'Wait in an owner\'s queue, per priority', labelNames: ['priority'], buckets: SECONDS, registers }),
+    queued: new prom.Histogram({ name: 'kingcupdeck_queued_seconds', help: 'Wait in an owner\'s queue, per priority', labelNames: ['priority'], buckets: BUCKETS_SECONDS, registers }),
     requests: new prom.Counter({ name: 'kingcupdeck_requests_total', help: 'Requests by client account and outcome', labelNames: ['account', 'outcome'], registers }),
     attempts: new prom.Counter({ name: 'kingcupdeck_attempts_total', help: 'Attempts at endpoints by outcome', labelNames: ['outcome'], registers }),
     promptTokens: new prom.Counter({ name: 'kingcupdeck_prompt_tokens_total', help: 'Prompt tokens, found in an engine\'s cache or not', labelNames: ['cached'], registers }),
@@ -46,9 +43,8 @@
 }
 
 /**
- * Keeps a label bounded: the first values seen keep their names, later ones share one.
- * @param max how many keep their names
- * @returns a function from value to label
+ * Limits the number of distinct label values: after the first `max` values, new ones map to {@link OTHER_LABEL}.
+ * @returns a function that converts a value to its label
  */
 export function createBoundedLabels (max: number): (value: string) => string {
   const known = new Set<string>()
@@ -60,16 +56,13 @@
   }
 }
 
-/** The metrics of a control instance. */
+/** Metrics of a control instance. */
 export interface ControlMetrics {
   registry: prom.Registry
   linkBytes: prom.Counter<'direction'>
 }
 
-/**
- * Creates the metrics of a control instance.
- * @returns the metrics and their registry
- */
+/** Creates the metrics of a control instance in a new registry. */
 export function createControlMetrics (): ControlMetrics {
   const registry = new prom.Registry()
   prom.collectDefaultMetrics({ register: registry })
