--- a/packages/links/__tests__/links.test.ts
+++ b/packages/links/__tests__/links.test.ts
@@ -1,4 +1,4 @@
-/** Links: frames, the mutual proof, calls, and connections that go silent. */
+/** Links: framing, handshake, calls, and detection of unresponsive connections. */
 import * as net from 'node:net'
 import * as ava from 'ava'
 import * as fc from 'fast-check'
@@ -17,27 +17,27 @@
   return server
 }
 
-test('frames survive any cut of the stream', t => {
-  fc.assert(fc.property(fc.array(fc.record({ t: fc.string(), n: fc.integer(), data: fc.uint8Array({ maxLength: 50 }) }), { minLength: 1, maxLength: 8 }), fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }), (bodies, cuts) => {
+test('frames are decoded from arbitrary chunks of the stream', t => {
+  fc.assert(fc.property(fc.array(fc.record({ t: fc.string(), n: fc.integer(), data: fc.uint8Array({ maxLength: 50 }) }), { minLength: 1, maxLength: 8 }), fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }), (bodies, chunkSizes) => {
     const bytes = Buffer.concat(bodies.map((body, i) => links.encodeFrame([links.FrameKind.event, i, body])))
     const reader = links.createFrameReader(() => 1e6)
-    const seen: unknown[] = []
-    for (let at = 0, i = 0; at < bytes.length; i++) {
-      const next = at + cuts[i % cuts.length]
-      seen.push(...reader.push(bytes.subarray(at, next)).map(item => item.frame[2]))
-      at = next
+    const received: unknown[] = []
+    for (let offset = 0, i = 0; offset < bytes.length; i++) {
+      const next = offset + chunkSizes[i % chunkSizes.length]
+      received.push(...reader.push(bytes.subarray(offset, next)).map(item => item.frame[2]))
+      offset = next
     }
-    t.deepEqual(JSON.parse(JSON.stringify(seen)), JSON.parse(JSON.stringify(bodies.map(body => ({ ...body, data: Buffer.from(body.data) })))))
+    t.deepEqual(JSON.parse(JSON.stringify(received)), JSON.parse(JSON.stringify(bodies.map(body => ({ ...body, data: Buffer.from(body.data) })))))
   }), { seed: 20261203 })
 })
 
-test('frames that are too large or no frames are refused', t => {
+test('oversized and malformed frames throw a FrameError', t => {
   const reader = links.createFrameReader(() => 100)
   t.throws(() => reader.push(links.encodeFrame([0, 0, 'x'.repeat(200)])), { instanceOf: links.FrameError })
   t.throws(() => links.createFrameReader(() => 100).push(Buffer.from([0, 0, 0, 2, 0x82, 0x01])), { instanceOf: links.FrameError })
 })
 
-test('calls get their own replies, failures reach the caller', async t => {
+test('concurrent calls receive their own replies, and handler errors reject the call', async t => {
   const server = await listen(t, { ...settings('server'), handlers: { onEvent: () => {}, onCall: async body => { if (body === 'bad') throw new Error('no'); return body } } })
   const link = await links.dial(`127.0.0.1:${server.port}`, settings('client'))
   const replies = await Promise.all(Array.from({ length: 50 }, async (_, i) => await link.call(i, 2000)))
@@ -48,8 +48,8 @@
   await t.throwsAsync(link.call(1, 2000), { instanceOf: links.CallError })
 })
 
-// A stranger, or an instance of another fleet, connects. Neither side may take the other for one of its own.
-test('without the secret there is no link, from either side', async t => {
+// Guards against links to processes of another fleet.
+test('a wrong secret on either side fails the handshake', async t => {
   const server = await listen(t)
   await t.throwsAsync(links.dial(`127.0.0.1:${server.port}`, settings('client', 'another-secret-16')))
   const impostor = net.createServer(socket => { socket.write(links.encodeFrame([0, 0, { protocol: 1, who: { role: 'router', id: 'server' }, nonce: 'n'.repeat(32), proof: 'p' }])) })
@@ -58,23 +58,22 @@
   await t.throwsAsync(links.dial(`127.0.0.1:${(impostor.address() as net.AddressInfo).port}`, settings('client')), { message: /could not prove/ })
 })
 
-// Something between two instances forgets their connection: no reset comes, nothing comes through. A call on it must not
-// wait for its own timeout.
-test('a silent link is destroyed while a call waits', async t => {
+// A middlebox may drop the state of a connection without a reset; a call must then fail before its own timeout.
+test('an unresponsive link is destroyed while a call is pending', async t => {
   const server = await listen(t)
-  let isSilent = false
-  const middle = net.createServer(left => {
-    const right = net.connect(server.port, '127.0.0.1')
-    left.on('data', data => { if (!isSilent) right.write(data) })
-    right.on('data', data => { if (!isSilent) left.write(data) })
-    left.on('error', () => {})
-    right.on('error', () => {})
+  let isDropping = false
+  const proxy = net.createServer(client => {
+    const upstream = net.connect(server.port, '127.0.0.1')
+    client.on('data', data => { if (!isDropping) upstream.write(data) })
+    upstream.on('data', data => { if (!isDropping) client.write(data) })
+    client.on('error', () => {})
+    upstream.on('error', () => {})
   })
-  await new Promise<void>(resolve => { middle.listen(0, '127.0.0.1', resolve) })
-  t.teardown(() => { middle.close() })
-  const link = await links.dial(`127.0.0.1:${(middle.address() as net.AddressInfo).port}`, settings('client'))
+  await new Promise<void>(resolve => { proxy.listen(0, '127.0.0.1', resolve) })
+  t.teardown(() => { proxy.close() })
+  const link = await links.dial(`127.0.0.1:${(proxy.address() as net.AddressInfo).port}`, settings('client'))
   t.deepEqual(await link.call('first', 2000), { echo: 'first' })
-  isSilent = true
+  isDropping = true
   const err = await t.throwsAsync(link.call('second', 60_000), { instanceOf: links.CallError })
   t.is((err as links.CallError).kind, 'closed')
   t.is(await link.closed, 'silent')
--- a/packages/links/src/connect.ts
+++ b/packages/links/src/connect.ts
@@ -1,4 +1,4 @@
-/** Opening links: the dialling and the listening side of the handshake. */
+/** Establishes links: the dialling and the listening side of the handshake. */
 import * as net from 'node:net'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as contracts from '@kingcupdeck/contracts'
@@ -6,36 +6,31 @@
 import * as handshake from './handshake.js'
 import * as links from './link.js'
 
-/** What both sides of a link need. */
+/** Settings of the links of a process. */
 export interface LinkSettings {
+  /** Identity of this process. */
   identity: handshake.Identity
-  /** The fleet secret, which both sides must know. */
+  /** The fleet secret, shared by all processes. */
   secret: string
   log: telemetry.Log
   handlers: links.LinkHandlers
   countBytes?: links.CountBytes
 }
 
-/** Before the proof, a stranger may make us hold no more than this. */
+/** Frame size limit for a peer that is not yet authenticated. */
 const HANDSHAKE_MAX_BYTES = 1024
-const HANDSHAKE_MS = 3000
+const HANDSHAKE_TIMEOUT_MS = 3000
 
-/**
- * Splits `ip:port`.
- * @param address IP number and port
- * @returns both parts
- */
+/** Splits an address `ip:port` or `[ip]:port`. */
 export function parseAddress (address: string): { host: string, port: number } {
-  const at = address.lastIndexOf(':')
-  return { host: address.slice(0, at).replace(/^\[|\]$/g, ''), port: Number(address.slice(at + 1)) }
+  const colon = address.lastIndexOf(':')
+  return { host: address.slice(0, colon).replace(/^\[|\]$/g, ''), port: Number(address.slice(colon + 1)) }
 }
 
 /**
  * Opens a link to an address.
- * @param address IP number and port
- * @param cfg who we are and what to do with traffic
- * @returns the link, once both sides proved the secret
- * @throws Error when there is no connection or no proof in time
+ * @returns the link, once both sides are authenticated
+ * @throws Error when the connection or handshake fails or times out
  */
 export async function dial (address: string, cfg: LinkSettings): Promise<links.Link> {
   const socket = net.connect({ ...parseAddress(address) })
@@ -59,24 +54,21 @@
 
 /** A listening socket for links. */
 export interface LinkServer {
-  /** The port it listens on. */
   readonly port: number
-  /** Stops listening and ends every link that came in. */
+  /** Stops listening and closes all accepted connections. */
   close (): Promise<void>
 }
 
 /**
  * Listens for links.
- * @param address IP number and port; port 0 takes a free one
- * @param cfg who we are and what to do with traffic
- * @param onLink told of each link, once both sides proved the secret
- * @returns the server
+ * @param address IP address and port; port 0 selects a free one
+ * @param onLink receives each link, once both sides are authenticated
  */
 export async function listen (address: string, cfg: LinkSettings, onLink: (link: links.Link) => void): Promise<LinkServer> {
-  const open = new Set<net.Socket>()
+  const sockets = new Set<net.Socket>()
   const server = net.createServer(socket => {
-    open.add(socket)
-    socket.on('close', () => open.delete(socket))
+    sockets.add(socket)
+    socket.on('close', () => sockets.delete(socket))
     socket.on('error', () => {})
     accept(socket, cfg).then(onLink, () => { socket.destroy() })
   })
@@ -87,7 +79,7 @@
   return {
     port: (server.address() as net.AddressInfo).port,
     close: async () => {
-      for (const socket of open) socket.destroy()
+      for (const socket of sockets) socket.destroy()
       await new Promise<void>(resolve => { server.close(() => { resolve() }) })
     }
   }
@@ -99,16 +91,16 @@
   const nonce = handshake.createNonce()
   const proof = handshake.createProof(cfg.secret, 'listens', hello.nonce, nonce, cfg.identity)
   pipe.write({ protocol: handshake.PROTOCOL, who: cfg.identity, nonce, proof })
-  const last = handshake.clientProof.parse(await pipe.next())
+  const confirmation = handshake.clientProof.parse(await pipe.next())
   const expected = handshake.createProof(cfg.secret, 'dials', nonce, hello.nonce, hello.who)
-  if (!handshake.isValidProof(expected, last.proof)) {
+  if (!handshake.isValidProof(expected, confirmation.proof)) {
     cfg.log.event('linkRefused', { claims: hello.who.id, address: socket.remoteAddress ?? '' })
-    throw new Error('no proof of the fleet secret')
+    throw new Error(`${hello.who.id} could not prove the fleet secret`)
   }
   return links.createLink({ socket, peer: hello.who, log: cfg.log, handlers: cfg.handlers, countBytes: cfg.countBytes, ...pipe.finish() })
 }
 
-/** Reads single frames until the handshake is over, then hands over what is left. */
+/** Exchanges single frames during the handshake, then hands over the reader and the remaining frames. */
 function createHandshakePipe (socket: net.Socket) {
   let maxBytes = HANDSHAKE_MAX_BYTES
   const reader = frames.createFrameReader(() => maxBytes)
@@ -127,8 +119,8 @@
     }
     wake()
   }
-  const onClose = (): void => { fail(new Error('connection ended during the handshake')) }
-  const timer = setTimeout(() => { fail(new Error('handshake took too long')) }, HANDSHAKE_MS)
+  const onClose = (): void => { fail(new Error('connection closed during the handshake')) }
+  const timer = setTimeout(() => { fail(new Error(`handshake not completed within ${HANDSHAKE_TIMEOUT_MS} ms`)) }, HANDSHAKE_TIMEOUT_MS)
   socket.on('data', onData)
   socket.on('error', fail)
   socket.on('close', onClose)
@@ -138,8 +130,8 @@
     },
     async next (): Promise<unknown> {
       while (true) {
-        const item = earlyFrames.shift()
-        if (item !== undefined) return item.frame[2]
+        const received = earlyFrames.shift()
+        if (received !== undefined) return received.frame[2]
         if (failure !== undefined) {
           clearTimeout(timer)
           throw failure
--- a/packages/links/src/endpointClient.ts
+++ b/packages/links/src/endpointClient.ts
@@ -1,73 +1,70 @@
 /**
- * HTTP connections to one endpoint, over undici. One request at a time on a connection. A connection that fell silent is
- * destroyed with all idle ones beside it and never used again: what lost track of one has likely lost the others too.
+ * HTTP connections to one endpoint over undici, with one request per connection at a time. If a connection is
+ * unresponsive, the idle ones are closed as well, since a middlebox has probably dropped the state of all of them.
  */
 import * as net from 'node:net'
 import * as undici from 'undici'
 
-/** A connection lent for one request. */
+/** A connection acquired for one request. */
 export interface EndpointConnection {
   client: undici.Client
-  /** Gives the connection back for the next request. */
+  /** Returns the connection to the idle ones. */
   release (): void
-  /** Destroys the connection. */
   destroy (): void
 }
 
-/** The connections to one endpoint. */
+/** The HTTP connections to one endpoint. */
 export interface EndpointClient {
   /**
-   * Lends a connection that is established already, so that no time passes between the caller's last check and the write.
-   * @param isFresh whether an idle connection will not do: a request that may not be repeated must not meet a connection
-   * that the other side is just closing
-   * @returns the connection
-   * @throws Error when the endpoint cannot be connected to; nothing was sent
+   * Acquires an established connection, so that the request can be written without delay.
+   * @param isNew whether to open a new connection; required for requests that must not be repeated, because the endpoint
+   * may be closing an idle one
+   * @throws Error when connecting fails; nothing was sent
    */
-  acquire (isFresh?: boolean): Promise<EndpointConnection>
-  /** Destroys all idle connections, after one was found silent. */
+  acquire (isNew?: boolean): Promise<EndpointConnection>
+  /** Closes all idle connections, for use after one was unresponsive. */
   closeIdle (): void
-  /** Ends all connections. */
+  /** Closes all connections. */
   close (): void
 }
 
-/** An idle connection older than this is not used again: it may have been forgotten on the way. */
+/** Idle connections are not reused after this time, since a middlebox may have dropped their state. */
 const MAX_IDLE_MS = 4000
-const CONNECT_MS = 1500
+const CONNECT_TIMEOUT_MS = 1500
 
-function toTarget (origin: string): { host: string, port: number } {
+function toHostPort (origin: string): { host: string, port: number } {
   const url = new URL(origin)
   return { host: url.hostname.replace(/^\[|\]$/g, ''), port: Number(url.port) }
 }
 
 /**
- * Creates the connections to an endpoint.
+ * Creates a client of an endpoint; no connection is opened yet.
  * @param origin base URL of the endpoint
- * @returns the connections
  */
 export function createEndpointClient (origin: string): EndpointClient {
-  let idle: Array<{ client: undici.Client, sinceMs: number }> = []
-  const lent = new Set<undici.Client>()
+  let idle: Array<{ client: undici.Client, idleSince: number }> = []
+  const acquired = new Set<undici.Client>()
   let isClosed = false
 
-  const drop = (client: undici.Client): void => {
-    lent.delete(client)
+  const destroyClient = (client: undici.Client): void => {
+    acquired.delete(client)
     client.destroy().catch(() => {})
   }
 
-  const takeIdle = (): undici.Client | undefined => {
+  const popIdle = (): undici.Client | undefined => {
     const now = performance.now()
-    const fresh = idle.filter(item => now - item.sinceMs < MAX_IDLE_MS && !item.client.destroyed)
+    const usable = idle.filter(item => now - item.idleSince < MAX_IDLE_MS && !item.client.destroyed)
     for (const item of idle) {
-      if (!fresh.includes(item)) drop(item.client)
+      if (!usable.includes(item)) destroyClient(item.client)
     }
-    idle = fresh
+    idle = usable
     return idle.pop()?.client
   }
 
   const connect = async (): Promise<undici.Client> => {
-    const socket = net.connect(toTarget(origin))
+    const socket = net.connect(toHostPort(origin))
     await new Promise<void>((resolve, reject) => {
-      const timer = setTimeout(() => { socket.destroy(new Error('connecting took too long')) }, CONNECT_MS)
+      const timer = setTimeout(() => { socket.destroy(new Error(`no connection to ${origin} within ${CONNECT_TIMEOUT_MS} ms`)) }, CONNECT_TIMEOUT_MS)
       socket.once('connect', () => { clearTimeout(timer); resolve() })
       socket.once('error', err => { clearTimeout(timer); reject(err) })
     })
@@ -82,44 +79,44 @@
       connect: (_, callback) => {
         const isUsable = !isUsed && !socket.destroyed
         isUsed = true
-        // The client ignores an answer that comes before its own call has returned.
+        // undici ignores a callback that is invoked before its connect call has returned.
         queueMicrotask(() => {
           if (isUsable) callback(null, socket)
-          else callback(new Error('connection ended'), null)
+          else callback(new Error(`connection to ${origin} closed`), null)
         })
       }
     })
   }
 
   return {
-    async acquire (isFresh = false) {
-      const client = (isFresh ? undefined : takeIdle()) ?? await connect()
-      lent.add(client)
-      let isDone = false
+    async acquire (isNew = false) {
+      const client = (isNew ? undefined : popIdle()) ?? await connect()
+      acquired.add(client)
+      let isReleased = false
       return {
         client,
         release () {
-          if (isDone) return
-          isDone = true
-          lent.delete(client)
-          if (isClosed) drop(client)
-          else idle.push({ client, sinceMs: performance.now() })
+          if (isReleased) return
+          isReleased = true
+          acquired.delete(client)
+          if (isClosed) destroyClient(client)
+          else idle.push({ client, idleSince: performance.now() })
         },
         destroy () {
-          if (isDone) return
-          isDone = true
-          drop(client)
+          if (isReleased) return
+          isReleased = true
+          destroyClient(client)
         }
       }
     },
     closeIdle () {
-      for (const item of idle) drop(item.client)
+      for (const item of idle) destroyClient(item.client)
       idle = []
     },
     close () {
       isClosed = true
-      for (const item of idle) drop(item.client)
-      for (const client of lent) drop(client)
+      for (const item of idle) destroyClient(item.client)
+      for (const client of acquired) destroyClient(client)
       idle = []
     }
   }
--- a/packages/links/src/frames.ts
+++ b/packages/links/src/frames.ts
@@ -1,26 +1,19 @@
-/**
- * Frames between the system's own processes: four bytes of length, then one CBOR item. An item is a tuple of the kind of
- * frame, a call number and a body; the kinds are listed in {@link FrameKind}.
- */
+/** Framing of links: a 4-byte big-endian length, followed by a CBOR tuple of frame kind, call number and body. */
 import * as cbor from 'cbor-x'
 
-/** What a frame is for. */
+/** Kind of a frame. The numeric values are part of the protocol. */
 export enum FrameKind { event, call, reply, callFailed, ping, pong }
 
-/** A frame as it travels. */
+/** A frame; the call number is 0 for frames that belong to no call. */
 export type Frame = [kind: FrameKind, call: number, body: unknown]
 
 const LENGTH_BYTES = 4
 const codec = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
 
-/** The frame is larger than its reader takes, or is no CBOR. */
+/** A frame that exceeds the size limit or is malformed. */
 export class FrameError extends Error {}
 
-/**
- * Encodes a frame.
- * @param frame what to send
- * @returns its bytes with the length in front
- */
+/** Encodes a frame including its length prefix. */
 export function encodeFrame (frame: Frame): Buffer {
   const body = codec.encode(frame)
   const out = Buffer.allocUnsafe(LENGTH_BYTES + body.length)
@@ -29,66 +22,64 @@
   return out
 }
 
-/** A frame that came, with its size on the wire. */
+/** A received frame and its size on the wire. */
 export interface ReceivedFrame { frame: Frame, bytes: number }
 
-/** Cuts a byte stream into frames. */
+/** Incremental decoder of a byte stream. */
 export interface FrameReader {
   /**
-   * Takes bytes as they come.
-   * @param chunk the next bytes
-   * @returns the frames that are complete now
-   * @throws FrameError when a frame is too large or cannot be read
+   * Adds the next bytes of the stream.
+   * @returns the frames completed by them
+   * @throws FrameError when a frame is too large or malformed
    */
   push (chunk: Buffer): ReceivedFrame[]
 }
 
 /**
- * Creates a reader.
- * @param maxBytes the largest frame it takes; read anew for each frame, so that a limit can rise after a handshake
- * @returns the reader
+ * Creates a frame reader.
+ * @param maxBytes size limit, evaluated for each frame so that it can be raised after the handshake
  */
 export function createFrameReader (maxBytes: () => number): FrameReader {
-  let held: Buffer[] = []
-  let heldBytes = 0
-  const take = (): Buffer => {
-    const all = held.length === 1 ? held[0] : Buffer.concat(held)
-    held = []
-    heldBytes = 0
+  let pending: Buffer[] = []
+  let pendingBytes = 0
+  const drain = (): Buffer => {
+    const all = pending.length === 1 ? pending[0] : Buffer.concat(pending)
+    pending = []
+    pendingBytes = 0
     return all
   }
   return {
     push (chunk) {
-      held.push(chunk)
-      heldBytes += chunk.length
+      pending.push(chunk)
+      pendingBytes += chunk.length
       const frames: ReceivedFrame[] = []
-      if (heldBytes < LENGTH_BYTES) return frames
-      let all = take()
+      if (pendingBytes < LENGTH_BYTES) return frames
+      let all = drain()
       while (all.length >= LENGTH_BYTES) {
         const length = all.readUInt32BE(0)
-        if (length > maxBytes()) throw new FrameError(`frame of ${length} bytes is over the limit of ${maxBytes()}`)
+        if (length > maxBytes()) throw new FrameError(`frame of ${length} bytes exceeds the limit of ${maxBytes()} bytes`)
         if (all.length < LENGTH_BYTES + length) break
-        frames.push({ frame: decode(all.subarray(LENGTH_BYTES, LENGTH_BYTES + length)), bytes: LENGTH_BYTES + length })
+        frames.push({ frame: decodeFrame(all.subarray(LENGTH_BYTES, LENGTH_BYTES + length)), bytes: LENGTH_BYTES + length })
         all = all.subarray(LENGTH_BYTES + length)
       }
       if (all.length > 0) {
-        held.push(all)
-        heldBytes = all.length
+        pending.push(all)
+        pendingBytes = all.length
       }
       return frames
     }
   }
 }
 
-function decode (bytes: Buffer): Frame {
+function decodeFrame (bytes: Buffer): Frame {
   let item: unknown
   try {
     item = codec.decode(bytes)
   } catch (err) {
-    throw new FrameError(`frame is no CBOR: ${err instanceof Error ? err.message : String(err)}`)
+    throw new FrameError(`frame of ${bytes.length} bytes is not valid CBOR: ${err instanceof Error ? err.message : String(err)}`)
   }
   if (!Array.isArray(item) || item.length !== 3 || typeof item[0] !== 'number' || typeof item[1] !== 'number') {
-    throw new FrameError('frame is not a tuple of kind, call and body')
+    throw new FrameError('frame is not a tuple of kind, call number and body')
   }
   return item as Frame
 }
--- a/packages/links/src/index.ts
+++ b/packages/links/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of the links: frames, authenticated links, peer books, streams, and HTTP connections to endpoints. */
+/** Public API of the links package: frames, authenticated links, streams, and HTTP connections to endpoints. */
 export * from './connect.js'
 export * from './endpointClient.js'
 export * from './frames.js'
--- a/packages/links/src/link.ts
+++ b/packages/links/src/link.ts
@@ -1,119 +1,110 @@
-/**
- * A link: one authenticated TCP connection between two processes of the system, carrying events, calls and replies.
- * One task reads it; it is watched with all others of the process until the connection ends.
- */
+/** A link: an authenticated TCP connection between two processes, used for events, calls and replies in both directions. */
 import * as net from 'node:net'
 import * as timers from 'node:timers/promises'
 import * as contracts from '@kingcupdeck/contracts'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as frames from './frames.js'
 import * as handshake from './handshake.js'
-import * as linkMonitors from './linkMonitor.js'
+import * as linkMonitor from './linkMonitor.js'
 
-/** Why a link ended. */
+/** Why a link was closed: by the peer or a connection error, unresponsive, invalid frame, or by this process. */
 export type CloseReason = 'ended' | 'silent' | 'invalid' | 'local'
 
-/** A call did not get its reply: the link ended, the time was over, or the other side failed. */
+/** A call without a reply: the link was closed, the call timed out, or the peer's handler failed. */
 export class CallError extends Error {
-  /**
-   * @param kind why there is no reply
-   * @param detail for people
-   */
   constructor (readonly kind: 'closed' | 'timeout' | 'failed', detail: string) {
     super(`call ${kind}: ${detail}`)
     this.name = 'CallError'
   }
 }
 
-/** What a process does with what arrives on a link. */
+/** Handlers of the traffic received on a link. */
 export interface LinkHandlers {
-  /** Takes an event. */
+  /** Handles an event. */
   onEvent (body: unknown, link: Link): void
-  /** Answers a call; what it throws reaches the caller as a failed call. */
+  /** Handles a call and returns the reply; an error rejects the peer's call. */
   onCall (body: unknown, link: Link): Promise<unknown>
-  /** Told once when the link has ended. */
+  /** Invoked once, after the link was closed. */
   onClose? (link: Link, reason: CloseReason): void
 }
 
-/** Where a link's traffic is counted. */
+/** Counts the bytes of a frame. */
 export type CountBytes = (direction: 'in' | 'out', bytes: number, body: unknown) => void
 
 /** One end of a link. */
 export interface Link {
   readonly peer: handshake.Identity
-  /** @returns whether it can still be written to */
   isOpen (): boolean
-  /** Sends an event; lost without a word if the link has ended. */
+  /** Sends an event; dropped without an error if the link is closed. */
   send (body: unknown): void
-  /** Sends an event that was encoded before, for many links together. */
+  /** Sends an event that was encoded once for several links. */
   sendEncoded (event: EncodedEvent): void
-  /** Sends a call. @returns its reply. @throws CallError */
+  /**
+   * Sends a call and returns the reply.
+   * @throws CallError
+   */
   call (body: unknown, timeoutMs: number): Promise<unknown>
-  /** Says that work depends on this link, so that silence is noticed at once. @returns the release */
+  /**
+   * Marks the link as busy, so that an unresponsive peer is detected early.
+   * @returns a function that removes the mark
+   */
   markBusy (): () => void
-  /** @returns when the socket's buffer has gone down, so that a slow reader slows the writer */
+  /** Resolves when the send buffer is below its limit or the link is closed, to apply backpressure to the sender. */
   drained (): Promise<void>
-  /** Ends the link. */
   close (): void
-  /** Resolves when the link has ended. */
+  /** Resolves when the link is closed. */
   readonly closed: Promise<CloseReason>
 }
 
-/** An event that is encoded once and sent over many links. */
+/** An event encoded once to be sent over several links. */
 export interface EncodedEvent { body: unknown, bytes: Buffer }
 
-/**
- * Encodes an event.
- * @param body the event
- * @returns it as it travels
- */
+/** Encodes an event for {@link Link.sendEncoded}. */
 export function encodeEvent (body: unknown): EncodedEvent {
   return { body, bytes: frames.encodeFrame([frames.FrameKind.event, 0, body]) }
 }
 
-/** What a link is made of, once the handshake is over. */
+/** Options of {@link createLink}. */
 export interface LinkOptions {
   socket: net.Socket
   peer: handshake.Identity
   reader: frames.FrameReader
-  /** Frames that came together with the end of the handshake. */
+  /** Frames received together with the last frame of the handshake. */
   earlyFrames: frames.ReceivedFrame[]
   handlers: LinkHandlers
   log: telemetry.Log
   countBytes?: CountBytes
 }
 
-const HIGH_WATER_BYTES = 1024 * 1024
+/** Size of the send buffer above which {@link Link.drained} waits. */
+const HIGH_WATER_MARK_BYTES = 1024 * 1024
+const DRAIN_POLL_MS = 5
 
-/**
- * Creates a link over an authenticated socket and starts to read it.
- * @param parts the socket and what to do with its traffic
- * @returns the link
- */
-export function createLink (parts: LinkOptions): Link {
-  const { socket, peer, handlers, log } = parts
+/** Creates a link over an authenticated socket and starts reading from it. */
+export function createLink (opts: LinkOptions): Link {
+  const { socket, peer, handlers, log } = opts
   const pending = new Map<number, { resolve: (body: unknown) => void, reject: (err: Error) => void }>()
-  const count = parts.countBytes ?? (() => {})
+  const countBytes = opts.countBytes ?? (() => {})
   let nextCall = 1
-  let holds = 0
+  let busyCount = 0
   let lastReceivedAt = performance.now()
   let pingSentAt: number | undefined
-  let reason: CloseReason = 'ended'
-  let settleClosed: (reason: CloseReason) => void = () => {}
-  const closed = new Promise<CloseReason>(resolve => { settleClosed = resolve })
+  let closeReason: CloseReason = 'ended'
+  let resolveClosed: (reason: CloseReason) => void = () => {}
+  const closed = new Promise<CloseReason>(resolve => { resolveClosed = resolve })
 
   const write = (frame: frames.Frame): void => {
     if (link.isOpen()) writeBytes(frames.encodeFrame(frame), frame[2])
   }
 
   const writeBytes = (bytes: Buffer, body: unknown): void => {
-    count('out', bytes.length, body)
+    countBytes('out', bytes.length, body)
     socket.write(bytes)
   }
 
-  const end = (why: CloseReason): void => {
+  const close = (reason: CloseReason): void => {
     if (socket.destroyed) return
-    reason = why
+    closeReason = reason
     socket.destroy()
   }
 
@@ -123,7 +114,7 @@
     send: body => { write([frames.FrameKind.event, 0, body]) },
     sendEncoded: event => { if (link.isOpen()) writeBytes(event.bytes, event.body) },
     call: async (body, timeoutMs) => {
-      if (!link.isOpen()) throw new CallError('closed', `no link to ${peer.id}`)
+      if (!link.isOpen()) throw new CallError('closed', `link to ${peer.id} is closed`)
       const call = nextCall++
       return await new Promise((resolve, reject) => {
         const timer = setTimeout(() => {
@@ -138,17 +129,17 @@
       })
     },
     markBusy: () => {
-      holds++
-      let isHeld = true
+      busyCount++
+      let isMarked = true
       return () => {
-        if (isHeld) holds--
-        isHeld = false
+        if (isMarked) busyCount--
+        isMarked = false
       }
     },
     drained: async () => {
-      while (link.isOpen() && socket.writableLength > HIGH_WATER_BYTES) await timers.setTimeout(5)
+      while (link.isOpen() && socket.writableLength > HIGH_WATER_MARK_BYTES) await timers.setTimeout(DRAIN_POLL_MS)
     },
-    close: () => { end('local') },
+    close: () => { close('local') },
     closed
   }
 
@@ -160,20 +151,20 @@
     }
   }
 
-  const take = (item: frames.ReceivedFrame): void => {
+  const receive = (item: frames.ReceivedFrame): void => {
     const [kind, call, body] = item.frame
-    count('in', item.bytes, body)
+    countBytes('in', item.bytes, body)
     switch (kind) {
       case frames.FrameKind.event: handlers.onEvent(body, link); break
       case frames.FrameKind.call: void answer(call, body); break
-      case frames.FrameKind.reply: settle(call)?.resolve(body); break
-      case frames.FrameKind.callFailed: settle(call)?.reject(new CallError('failed', String(body))); break
+      case frames.FrameKind.reply: takePending(call)?.resolve(body); break
+      case frames.FrameKind.callFailed: takePending(call)?.reject(new CallError('failed', String(body))); break
       case frames.FrameKind.ping: write([frames.FrameKind.pong, 0, null]); break
       case frames.FrameKind.pong: break
     }
   }
 
-  const settle = (call: number) => {
+  const takePending = (call: number) => {
     const waiter = pending.get(call)
     pending.delete(call)
     return waiter
@@ -181,36 +172,35 @@
 
   const read = async (): Promise<void> => {
     try {
-      for (const item of parts.earlyFrames) take(item)
+      for (const item of opts.earlyFrames) receive(item)
       for await (const chunk of socket) {
         lastReceivedAt = performance.now()
         pingSentAt = undefined
-        for (const item of parts.reader.push(chunk as Buffer)) take(item)
+        for (const item of opts.reader.push(chunk as Buffer)) receive(item)
       }
     } catch (err) {
       if (err instanceof frames.FrameError) {
         log.event('frameInvalid', { peer: peer.id, detail: err.message })
-        reason = 'invalid'
+        closeReason = 'invalid'
       }
     }
     socket.destroy()
-    for (const waiter of pending.values()) waiter.reject(new CallError('closed', `link to ${peer.id} ended`))
+    for (const waiter of pending.values()) waiter.reject(new CallError('closed', `link to ${peer.id} was closed`))
     pending.clear()
-    settleClosed(reason)
-    handlers.onClose?.(link, reason)
+    resolveClosed(closeReason)
+    handlers.onClose?.(link, closeReason)
   }
 
-  // Guards against connections that go silent for good while new ones work: something between the two ends has lost
-  // track of them, no reset ever comes, and a request would wait forever. A ping that nothing follows shows it.
-  const look: linkMonitors.LinkCheck = (now, wasFrozen) => {
-    // After a freeze of this process the silence is our own: judge the peer anew.
-    if (wasFrozen) pingSentAt = undefined
+  // Detects connections whose state a middlebox dropped: no reset is received, and calls would wait forever.
+  const check: linkMonitor.LinkCheck = (now, wasSuspended) => {
+    // If this process was suspended, the missing data says nothing about the peer.
+    if (wasSuspended) pingSentAt = undefined
     if (pingSentAt !== undefined && now - pingSentAt > contracts.LINK_TIMEOUT_MS - contracts.LINK_PING_MS) {
       log.event('linkSilent', { peer: peer.id, silentMs: Math.round(now - lastReceivedAt) })
-      end('silent')
+      close('silent')
       return
     }
-    const isBusy = holds > 0 || pending.size > 0
+    const isBusy = busyCount > 0 || pending.size > 0
     const pingAfterMs = isBusy ? contracts.LINK_PING_MS : contracts.LINK_IDLE_PING_MS
     if (pingSentAt === undefined && now - lastReceivedAt > pingAfterMs) {
       pingSentAt = now
@@ -219,7 +209,7 @@
   }
 
   socket.setNoDelay(true)
-  const unwatch = linkMonitors.monitorLink(look)
-  void read().finally(unwatch)
+  const stopMonitoring = linkMonitor.monitorLink(check)
+  void read().finally(stopMonitoring)
   return link
 }
--- a/packages/links/src/linkMonitor.ts
+++ b/packages/links/src/linkMonitor.ts
@@ -1,41 +1,37 @@
-/**
- * Looks after all links of a process in turns, with one timer. With a timer for each link, a process with 128 ends of links
- * woke up as often as it had links, and for nothing else.
- */
+/** Periodic checks of all links of a process with one shared timer, to avoid a wake-up per link. */
 
-/** One look at one link. */
-export type LinkCheck = (now: number, /** Whether this process stood still since the last look. */ wasFrozen: boolean) => void
+/** A periodic check of a link. */
+export type LinkCheck = (now: number, /** Whether this process was suspended since the last check. */ wasSuspended: boolean) => void
 
-/** Between two looks, milliseconds: a third of the time after which a silent link in use is given up. */
+/** Interval between checks; small compared to the timeout of a busy link. */
 export const CHECK_INTERVAL_MS = 350
 
-const looks = new Set<LinkCheck>()
+const checks = new Set<LinkCheck>()
 let timer: NodeJS.Timeout | undefined
-let lastLookAt = 0
+let lastCheckAt = 0
 
 /**
- * Has a link looked after.
- * @param look what is to be done with it each time
- * @returns how to end that
+ * Starts the periodic check of a link.
+ * @returns a function that stops it
  */
-export function monitorLink (look: LinkCheck): () => void {
-  looks.add(look)
+export function monitorLink (check: LinkCheck): () => void {
+  checks.add(check)
   if (timer === undefined) {
-    lastLookAt = performance.now()
-    timer = setInterval(lookAtAll, CHECK_INTERVAL_MS)
+    lastCheckAt = performance.now()
+    timer = setInterval(checkAll, CHECK_INTERVAL_MS)
     timer.unref()
   }
   return () => {
-    looks.delete(look)
-    if (looks.size > 0) return
+    checks.delete(check)
+    if (checks.size > 0) return
     clearInterval(timer)
     timer = undefined
   }
 }
 
-function lookAtAll (): void {
+function checkAll (): void {
   const now = performance.now()
-  const wasFrozen = now - lastLookAt > 3 * CHECK_INTERVAL_MS
-  lastLookAt = now
-  for (const look of [...looks]) look(now, wasFrozen)
+  const wasSuspended = now - lastCheckAt > 3 * CHECK_INTERVAL_MS
+  lastCheckAt = now
+  for (const check of [...checks]) check(now, wasSuspended)
 }
--- a/packages/links/src/peerDialer.ts
+++ b/packages/links/src/peerDialer.ts
@@ -1,40 +1,41 @@
-/** Reaching a peer whose machine may be gone: waits only so long, and does not try again at once. */
+/** Dialling of peers with a timeout and a backoff after failures. */
 import * as links from './link.js'
 import type * as peerLinks from './peerLinks.js'
 
-/** How long to wait, and how often to try. */
+/** Options of {@link createPeerDialer}. */
 export interface PeerDialerOptions {
-  /** A machine without power or behind a partition does not answer: so long is waited for a connection, milliseconds. */
+  /** Timeout of a connection attempt, since an unreachable machine may not respond at all. */
   dialTimeoutMs: number
-  /** After a failure nothing is tried for this long, so that messages to a lost peer fail at once, milliseconds. */
+  /** Time after a failure during which no attempt is made, so that messages to an unreachable peer fail at once. */
   backoffMs: number
 }
 
-/** Reaches peers by address. */
+/** Opens links to peers by address. */
 export interface PeerDialer {
-  /** @returns an open link. @throws Error when there is none in time, or a try failed just now */
+  /**
+   * Returns an open link to a peer.
+   * @throws Error when the connection fails or times out, or while the backoff lasts
+   */
   get: (address: string) => Promise<links.Link>
-  /** @returns when the peer could last not be reached, on the steady clock; -Infinity if never */
+  /** Returns the time of the latest failure on the clock of `performance.now()`, or -Infinity. */
   lastFailureAt: (address: string) => number
 }
 
 /**
- * Creates a way to reach peers.
- * @param book the links of this process, with addresses as ids
- * @param opts how long to wait
- * @returns the way
+ * Creates a dialer.
+ * @param peers the links of this process, identified by address
  */
-export function createPeerDialer (book: peerLinks.PeerLinks, opts: PeerDialerOptions): PeerDialer {
+export function createPeerDialer (peers: peerLinks.PeerLinks, opts: PeerDialerOptions): PeerDialer {
   const failures = new Map<string, number>()
-  const failedAt = (address: string): number => failures.get(address) ?? -Infinity
+  const lastFailureAt = (address: string): number => failures.get(address) ?? -Infinity
   return {
-    lastFailureAt: failedAt,
+    lastFailureAt,
     async get (address) {
-      const known = book.peek(address)
+      const known = peers.peek(address)
       if (known !== undefined) return known
-      if (performance.now() - failedAt(address) < opts.backoffMs) throw new Error(`${address} could not be reached just now`)
+      if (performance.now() - lastFailureAt(address) < opts.backoffMs) throw new Error(`${address} is unreachable; next attempt after a backoff of ${opts.backoffMs} ms`)
       try {
-        return await withTimeout(book.get(address, address), opts.dialTimeoutMs, `no connection to ${address}`)
+        return await withTimeout(peers.get(address, address), opts.dialTimeoutMs, `no connection to ${address}`)
       } catch (err) {
         failures.set(address, performance.now())
         throw err
@@ -44,17 +45,14 @@
 }
 
 /**
- * Waits for something, but not for ever.
- * @param work what is to come
- * @param ms how long to wait
- * @param missing what there is when nothing came, for the error
- * @returns what came
- * @throws Error when nothing came in time
+ * Limits the time to wait for a promise.
+ * @param missing what is missing on a timeout, for the error message
+ * @throws Error on a timeout
  */
 export async function withTimeout<T> (work: Promise<T>, ms: number, missing: string): Promise<T> {
   let timer: NodeJS.Timeout | undefined
-  const late = new Promise<never>((resolve, reject) => {
+  const timeout = new Promise<never>((resolve, reject) => {
     timer = setTimeout(() => { reject(new Error(`${missing} within ${Math.round(ms)} ms`)) }, ms)
   })
-  return await Promise.race([work, late]).finally(() => { clearTimeout(timer) })
+  return await Promise.race([work, timeout]).finally(() => { clearTimeout(timer) })
 }
--- a/packages/links/src/peerLinks.ts
+++ b/packages/links/src/peerLinks.ts
@@ -1,24 +1,23 @@
-/** The links of one process to its peers: dialled when first needed, shared by all callers, replaced after they end. */
+/** Links of a process to its peers: opened on first use, shared by all callers, and reopened after they closed. */
 import * as connect from './connect.js'
 import * as links from './link.js'
 
-/** The links of one process. */
+/** Links of a process by peer id. */
 export interface PeerLinks {
-  /** @returns an open link to a peer, dialling if there is none. @throws Error when it cannot be reached */
+  /**
+   * Returns an open link to a peer, dialling if there is none.
+   * @throws Error when the connection or handshake fails, or another peer has the address
+   */
   get (id: string, address: string): Promise<links.Link>
-  /** @returns an open link to a peer, or undefined */
+  /** Returns an open link to a peer without dialling. */
   peek (id: string): links.Link | undefined
-  /** Takes a link that the peer opened, so that both directions share it. */
+  /** Adds a link that the peer opened, so that both directions share it. */
   add (link: links.Link): void
-  /** Ends every link. */
+  /** Closes all links. */
   close (): void
 }
 
-/**
- * Creates a peer book.
- * @param cfg who we are and what to do with traffic
- * @returns the book
- */
+/** Creates the links of a process; none is opened yet. */
 export function createPeerLinks (cfg: connect.LinkSettings): PeerLinks {
   const open = new Map<string, links.Link>()
   const dialling = new Map<string, Promise<links.Link>>()
@@ -40,7 +39,7 @@
       const link = await connect.dial(address, cfg)
       if (link.peer.id !== id) {
         link.close()
-        throw new Error(`${address} is ${link.peer.id} and not ${id}`)
+        throw new Error(`peer at ${address} is ${link.peer.id}, expected ${id}`)
       }
       add(link)
       return link
--- a/packages/links/src/streams.ts
+++ b/packages/links/src/streams.ts
@@ -1,14 +1,11 @@
-/** Small bridges to `most`: sources that the program feeds, and periodic work as a stream. */
+/** Helpers for `most` streams: sources fed by the program, and periodic work. */
 import * as events from 'node:events'
 import * as most from 'most'
 
-/** A stream with the function that feeds it. */
+/** A stream and the function that emits its values. */
 export interface Subject<T> { stream: most.Stream<T>, next: (value: T) => void }
 
-/**
- * Creates a stream that the program feeds; every observer gets each value.
- * @returns the stream and its feeder
- */
+/** Creates a multicast stream whose values are emitted by the program. */
 export function createSubject<T> (): Subject<T> {
   const emitter = new events.EventEmitter()
   emitter.setMaxListeners(0)
@@ -19,27 +16,26 @@
 }
 
 /**
- * Does work at intervals until told to stop. A turn that takes longer than the interval delays the next one; what a turn
- * throws goes to the handler and does not end the series.
- * @param intervalMs from the start of one turn to the next
- * @param work one turn
- * @param onError told of what a turn throws
- * @returns the stop
+ * Runs work periodically, starting immediately. A run that is due while the previous one is pending is skipped, and a
+ * failed run does not stop the series.
+ * @param intervalMs time between the starts of two runs
+ * @param onError receives what a run throws
+ * @returns a function that stops the series
  */
 export function startPeriodic (intervalMs: number, work: () => Promise<void> | void, onError: (err: unknown) => void): () => void {
   const stop = createSubject<null>()
-  let isBusy = false
-  const turn = async (): Promise<void> => {
-    if (isBusy) return
-    isBusy = true
+  let isRunning = false
+  const run = async (): Promise<void> => {
+    if (isRunning) return
+    isRunning = true
     try {
       await work()
     } catch (err) {
       onError(err)
     } finally {
-      isBusy = false
+      isRunning = false
     }
   }
-  void most.periodic(intervalMs).until(stop.stream).observe(() => { void turn() })
+  void most.periodic(intervalMs).until(stop.stream).observe(() => { void run() })
   return () => { stop.next(null) }
 }
