--- a/packages/contracts/src/events.ts
+++ b/packages/contracts/src/events.ts
@@ -53,7 +53,7 @@
   endpointDied: spec(1404, 'warn', 'endpoint crashed with requests in flight', 'No action needed: its requests are retried on other endpoints, separately from each other.'),
   endpointFlapping: spec(1405, 'warn', 'endpoint changes state repeatedly; new work is withheld for a while', 'Check the endpoint. The hold-down time grows with each change.'),
   orderSent: spec(1406, 'info', 'engine was ordered to serve other models'),
-  orderRefused: spec(1407, 'warn', 'engine rejected an order', 'It has seen a newer one. If it repeats, two fleets control the same engine.'),
+  orderRefused: spec(1407, 'warn', 'engine rejected an order', 'The engine has received a newer order. If it repeats, two fleets control the same engine.'),
   endpointSetAside: spec(1409, 'warn', 'share of an endpoint was reduced because it performs worse than the others of its service, or was restored', 'Check the endpoint: it announces itself as ready.'),
   handoutTaken: spec(1316, 'info', 'document and records of a starting control instance applied'),
   handoutRefused: spec(1317, 'warn', 'fetching the document and records of a starting control instance failed', 'Expected while machines are down. Otherwise check that all instances use the same fleet secret.'),
