--- a/packages/router/src/answer.ts
+++ b/packages/router/src/answer.ts
@@ -1,23 +1,22 @@
-/** The answer to a chat as it grows at the entry instance, and the two ways in which a caller gets it. */
+/** Accumulates a chat answer at the entry instance and writes it to the caller as an event stream or as one JSON body. */
 import * as http from 'node:http'
 import * as contracts from '@kingcupdeck/contracts'
 import type * as helpers from './http.js'
 
-/** How an answer goes to its caller. */
+/** Writes an answer to the caller. */
 export interface AnswerWriter {
-  /** Takes the next event of the stream. */
   write (data: string): void
-  /** The answer is whole. */
+  /** Ends the response once the answer is complete. */
   finish (): void
 }
 
-/** The answer to a chat as it grows. */
+/** The events of an answer received so far. */
 export interface PartialAnswer {
-  /** Number of the next event that is due. */
+  /** Returns the index of the next expected event. */
   nextEventIndex (): number
-  /** Takes an event. @returns `gap` where an earlier one is missing, `old` where it was here before */
-  append (n: number, data: string): 'taken' | 'old' | 'gap'
-  /** @returns the text so far, for an engine that goes on from it */
+  /** Appends and writes event `n`. @returns `gap` if an earlier event is missing, `duplicate` if it was appended before */
+  append (n: number, data: string): 'appended' | 'duplicate' | 'gap'
+  /** @returns the text generated so far, from which another engine can resume */
   text (): string
 }
 
@@ -31,56 +30,51 @@
 
 /**
  * Creates an empty answer.
- * @param writer where events go in their order
- * @returns the answer
+ * @param writer receives each event once, in order
  */
 export function createPartialAnswer (writer: AnswerWriter): PartialAnswer {
   const events: string[] = []
   return {
     nextEventIndex: () => events.length,
     append (n, data) {
-      if (n < events.length) return 'old'
+      if (n < events.length) return 'duplicate'
       if (n > events.length) return 'gap'
       events.push(data)
       writer.write(data)
-      return 'taken'
+      return 'appended'
     },
     text: () => events.map(data => (JSON.parse(data) as Chunk).choices?.[0]?.delta?.content ?? '').join('')
   }
 }
 
 /**
- * Writes an answer as a stream of events, as the caller asked.
- * @param exchange the caller
- * @param isUsageWanted whether the event with the token counts is passed on
- * @param headers further headers
- * @returns the writer
+ * Creates a writer that sends an answer as server-sent events.
+ * @param isUsageWanted whether the event with the token counts is forwarded
+ * @param headers additional headers, evaluated at the first write
  */
 export function createStreamWriter (exchange: helpers.Exchange, isUsageWanted: boolean, headers: () => http.OutgoingHttpHeaders): AnswerWriter {
   const { res } = exchange
-  const begin = (): void => {
+  const writeHead = (): void => {
     if (res.headersSent) return
     res.writeHead(200, { 'content-type': 'text/event-stream; charset=utf-8', 'cache-control': 'no-cache', [contracts.HEADERS.requestId]: exchange.requestId, ...headers() })
   }
   return {
-    // Hot path: one call for each token.
+    // Hot path: called once per token.
     write (data) {
-      begin()
+      writeHead()
       if (!isUsageWanted && data.includes('"choices":[]')) return
       res.write(`data: ${data}\n\n`)
     },
     finish () {
-      begin()
+      writeHead()
       res.end('data: [DONE]\n\n')
     }
   }
 }
 
 /**
- * Collects an answer and sends it as one object.
- * @param exchange the caller
- * @param headers further headers
- * @returns the writer
+ * Creates a writer that buffers an answer and sends it as one JSON body.
+ * @param headers additional headers, evaluated at the end
  */
 export function createJsonWriter (exchange: helpers.Exchange, headers: () => http.OutgoingHttpHeaders): AnswerWriter {
   const events: string[] = []
--- a/packages/router/src/attempts.ts
+++ b/packages/router/src/attempts.ts
@@ -1,76 +1,72 @@
 /**
- * Attempts as the entry instance sees them: a request handed to an owner, here or on a peer, and the events that come
- * back. Events are routed by attempt id, so one that belongs to an older attempt reaches nobody.
+ * Attempts at the entry instance: dispatches a request to an owner, local or on a peer, and routes the owner's events
+ * back by attempt id. Events of an attempt that is closed are dropped.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
 
-/** What comes back from an owner; `linkLost` stands for the end of the link that the owner was reached by. */
+/** An event of an attempt; `linkLost` and `callerGone` are raised locally when the owner's link or the caller's connection closes. */
 export type AttemptEvent = contracts.PeerEvent | { t: 'linkLost' } | { t: 'callerGone' }
 
-/** Where an owner sends the events of an attempt. */
+/** Receives an owner's events of an attempt. */
 export interface EventSink {
   send (event: contracts.PeerEvent): void
   isOpen (): boolean
-  /** @returns when a slow reader has caught up */
+  /** Resolves when the receiver's backpressure has cleared. */
   drained (): Promise<void>
 }
 
-/** One attempt as the entry instance follows it. */
+/** One attempt at the entry instance. */
 export interface Attempt {
   readonly id: string
-  /** @returns the next event, in order */
+  /** Resolves with the next event, in order. */
   next (): Promise<AttemptEvent>
-  /** Puts the news that the caller went away behind the events that came so far. */
+  /** Queues `callerGone` behind the events received so far. */
   interrupt (): void
-  /** Stops listening. */
+  /** Stops receiving events. */
   close (): void
 }
 
 /** The attempts of an entry instance. */
 export interface Attempts {
-  /** Hands a request to its owner. */
+  /** Dispatches a request to its owner. */
   start (owner: contracts.Instance, msg: contracts.Dispatch): Promise<Attempt>
-  /** Takes an event that a peer sent. */
+  /** Delivers a peer's event to its attempt. */
   deliver (event: contracts.PeerEvent): void
-  /** Tells an owner where a chat ran. */
+  /** Notifies an owner of the endpoint that served a chat. */
   recordChatLocation (owner: contracts.Instance, event: Extract<contracts.PeerEvent, { t: 'placed' }>): void
   /**
-   * Asks an owner to drop an attempt.
-   * @returns whether it may have reached an endpoint: `unknown` where the owner does not answer
+   * Requests cancellation of an attempt from its owner.
+   * @returns whether it may have reached an endpoint: `unknown` if the owner does not answer
    */
   cancel (owner: contracts.Instance, attempt: string): Promise<contracts.Ran>
 }
 
-/** What attempts are built from. */
+/** Dependencies of {@link createAttempts}. */
 export interface AttemptsOptions {
   selfId: string
   peers: links.PeerLinks
-  /** The owner role of this same instance. */
+  /** Direct call to the owner role of this instance, like the two members below. */
   dispatchLocally (msg: contracts.Dispatch, sink: EventSink): void
   cancelLocally (attempt: string): { reached: boolean }
   recordChatLocationLocally (chat: string, home: string, endpoint: string): void
 }
 
-const CANCEL_MS = 1500
+const CANCEL_TIMEOUT_MS = 1500
 
-/**
- * Creates the attempts of an entry instance.
- * @param opts the ways to owners
- * @returns none yet
- */
+/** Creates the attempts of an entry instance. */
 export function createAttempts (opts: AttemptsOptions): Attempts {
-  const open = new Map<string, Mailbox>()
+  const mailboxes = new Map<string, Mailbox>()
 
-  const startHere = (msg: contracts.Dispatch, mailbox: Mailbox): void => {
+  const startLocal = (msg: contracts.Dispatch, mailbox: Mailbox): void => {
     opts.dispatchLocally(msg, {
-      send: event => { if (open.get(msg.attempt) === mailbox) mailbox.put(event) },
-      isOpen: () => open.get(msg.attempt) === mailbox,
+      send: event => { if (mailboxes.get(msg.attempt) === mailbox) mailbox.put(event) },
+      isOpen: () => mailboxes.get(msg.attempt) === mailbox,
       drained: async () => {}
     })
   }
 
-  const startThere = async (owner: contracts.Instance, msg: contracts.Dispatch, mailbox: Mailbox): Promise<() => void> => {
+  const startRemote = async (owner: contracts.Instance, msg: contracts.Dispatch, mailbox: Mailbox): Promise<() => void> => {
     const link = await opts.peers.get(owner.id, owner.peer)
     const release = link.markBusy()
     void link.closed.then(() => { mailbox.put({ t: 'linkLost' }) })
@@ -81,25 +77,25 @@
   return {
     async start (owner, msg) {
       const mailbox = createMailbox()
-      open.set(msg.attempt, mailbox)
+      mailboxes.set(msg.attempt, mailbox)
       let release = (): void => {}
-      const end = (): void => {
-        if (open.get(msg.attempt) === mailbox) open.delete(msg.attempt)
+      const close = (): void => {
+        if (mailboxes.get(msg.attempt) === mailbox) mailboxes.delete(msg.attempt)
         release()
       }
-      if (owner.id === opts.selfId) startHere(msg, mailbox)
+      if (owner.id === opts.selfId) startLocal(msg, mailbox)
       else {
         try {
-          release = await startThere(owner, msg, mailbox)
+          release = await startRemote(owner, msg, mailbox)
         } catch {
-          // No link was opened, so the owner never saw the request.
+          // No link could be opened, so the owner did not receive the request.
           mailbox.put({ t: 'declined', attempt: msg.attempt, reason: 'not_owner', load: 0, retryAfterMs: 0 })
         }
       }
-      return { id: msg.attempt, next: mailbox.take, interrupt: () => { mailbox.put({ t: 'callerGone' }) }, close: end }
+      return { id: msg.attempt, next: mailbox.take, interrupt: () => { mailbox.put({ t: 'callerGone' }) }, close }
     },
     deliver (event) {
-      if ('attempt' in event && event.t !== 'dispatch') open.get(event.attempt)?.put(event)
+      if ('attempt' in event && event.t !== 'dispatch') mailboxes.get(event.attempt)?.put(event)
     },
     recordChatLocation (owner, event) {
       if (owner.id === opts.selfId) opts.recordChatLocationLocally(event.chat, event.home, event.endpoint)
@@ -109,7 +105,7 @@
       if (owner.id === opts.selfId) return opts.cancelLocally(attempt).reached ? 'unknown' : 'no'
       try {
         const link = await opts.peers.get(owner.id, owner.peer)
-        const reply = contracts.peerReply.parse(await link.call({ t: 'cancel', attempt } satisfies contracts.PeerCall, CANCEL_MS))
+        const reply = contracts.peerReply.parse(await link.call({ t: 'cancel', attempt } satisfies contracts.PeerCall, CANCEL_TIMEOUT_MS))
         return reply.t === 'cancel' && !reply.reached ? 'no' : 'unknown'
       } catch {
         return 'unknown'
@@ -121,17 +117,17 @@
 interface Mailbox { put (event: AttemptEvent): void, take (): Promise<AttemptEvent> }
 
 function createMailbox (): Mailbox {
-  const held: AttemptEvent[] = []
+  const queued: AttemptEvent[] = []
   let waiter: ((event: AttemptEvent) => void) | undefined
   return {
     put (event) {
       const waiting = waiter
       waiter = undefined
       if (waiting !== undefined) waiting(event)
-      else held.push(event)
+      else queued.push(event)
     },
     async take () {
-      const first = held.shift()
+      const first = queued.shift()
       if (first !== undefined) return first
       return await new Promise(resolve => { waiter = resolve })
     }
--- a/packages/router/src/chatEntry.ts
+++ b/packages/router/src/chatEntry.ts
@@ -1,4 +1,4 @@
-/** The entry of chats: reads the request, places it, follows its answer to the end, and takes it up again when it breaks. */
+/** Handles chat completions: places the request on an endpoint, forwards the answer, and resumes it elsewhere after a failure. */
 import * as contracts from '@kingcupdeck/contracts'
 import * as answers from './answer.js'
 import type * as auths from './auth.js'
@@ -8,15 +8,13 @@
 import * as ids from './ids.js'
 import * as placement from './placement.js'
 
-/** After this many attempts a request ends in an error, whatever the retry budget says. */
+/** Upper bound on attempts per request, independent of the retry budget. */
 const MAX_ATTEMPTS = 5
-const UNAVAILABLE = 503
+const SERVICE_UNAVAILABLE = 503
 
 /**
  * Serves `POST /v1/chat/completions`.
- * @param ctx the entry instance
- * @param exchange the caller's request
- * @param account who calls
+ * @throws FailureError if the request is invalid, cannot be placed or fails
  */
 export async function serveChat (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account): Promise<void> {
   const body = await helpers.readBody(exchange.req, ctx.maxBodyBytes)
@@ -26,7 +24,7 @@
   if (model === undefined || !account.spec.services.includes(model.service)) throw new contracts.FailureError({ kind: 'unknown_model', model: chat.model })
   ctx.enforceRateLimit(account)
   const run = createRun(ctx, exchange, account, chat, model.service, body)
-  await followToEnd(ctx, run)
+  await runToCompletion(ctx, run)
 }
 
 interface Run {
@@ -37,9 +35,9 @@
   answer: answers.PartialAnswer
   writer: answers.AnswerWriter
   request: placement.PlacementRequest
-  /** Whether an endpoint may have begun it. */
+  /** Whether an endpoint may have started the request. */
   isReached: boolean
-  /** The endpoint that serves it now, for the header of the answer. */
+  /** The endpoint of the current attempt, for the response header. */
   served: { engine: string }
 }
 
@@ -48,7 +46,7 @@
   const startedAt = performance.now()
   const chatKey = chatRequest.toChatKey(exchange, account.id, chat)
   const served = { engine: '' }
-  const writer = timeTokens(ctx, account.id, priority, startedAt, createWriter(exchange, chat, served))
+  const writer = measureTokenLatency(ctx, account.id, priority, startedAt, createWriter(exchange, chat, served))
   const answer = answers.createPartialAnswer(writer)
   const excluded = new Set<string>()
   const request: placement.PlacementRequest = {
@@ -79,16 +77,16 @@
   return answers.createStreamWriter(exchange, chat.stream_options?.include_usage === true, headers)
 }
 
-/** Notes the first token and the time between tokens on their way to the caller. */
-function timeTokens (ctx: context.EntryContext, accountId: string, priority: string, startedAt: number, writer: answers.AnswerWriter): answers.AnswerWriter {
+/** Wraps a writer to record the time to first token and the time between tokens. */
+function measureTokenLatency (ctx: context.EntryContext, accountId: string, priority: string, startedAt: number, writer: answers.AnswerWriter): answers.AnswerWriter {
   let lastAt: number | undefined
   const account = ctx.metrics.toAccountLabel(accountId)
-  const between = ctx.metrics.betweenTokens.labels({ priority })
+  const betweenTokens = ctx.metrics.betweenTokens.labels({ priority })
   return {
     write (data) {
       const now = performance.now()
       if (lastAt === undefined) ctx.metrics.firstToken.observe({ account, priority }, (now - startedAt) / 1000)
-      else between.observe((now - lastAt) / 1000)
+      else betweenTokens.observe((now - lastAt) / 1000)
       lastAt = now
       writer.write(data)
     },
@@ -96,7 +94,7 @@
   }
 }
 
-async function followToEnd (ctx: context.EntryContext, run: Run): Promise<void> {
+async function runToCompletion (ctx: context.EntryContext, run: Run): Promise<void> {
   const { request } = run
   ctx.budget.deposit()
   let placed = await placeOrThrow(ctx, run)
@@ -106,21 +104,21 @@
     const { attempt } = placed
     request.signal.addEventListener('abort', attempt.interrupt)
     if (request.signal.aborted) attempt.interrupt()
-    const end = await follow(ctx, run, placed).finally(() => {
+    const end = await readEvents(ctx, run, placed).finally(() => {
       request.signal.removeEventListener('abort', attempt.interrupt)
       attempt.close()
       ctx.placer.adjustInFlight(placed.endpoint, -1)
     })
-    if (end.kind === 'whole') return
+    if (end.kind === 'completed') return
     if (end.kind === 'failed') throw new contracts.FailureError(end.failure)
-    request.trace.record('broke', `${placed.endpoint} by ${placed.owner.id}: ${end.why}`)
-    const isAllowed = attemptNo < MAX_ATTEMPTS && (end.isFree || ctx.budget.tryWithdraw())
-    if (!isAllowed) throw new contracts.FailureError(toLost(run, end.why))
+    request.trace.record('broke', `attempt on ${placed.endpoint} through owner ${placed.owner.id} failed: ${end.why}`)
+    const isAllowed = attemptNo < MAX_ATTEMPTS && (end.isBudgetExempt || ctx.budget.tryWithdraw())
+    if (!isAllowed) throw new contracts.FailureError(toLostFailure(run, end.why))
     placed = await reattach(ctx, run, placed, end) ?? await placeOrThrow(ctx, run)
   }
 }
 
-function toLost (run: Run, why: string): contracts.Failure {
+function toLostFailure (run: Run, why: string): contracts.Failure {
   if (run.answer.nextEventIndex() > 0) return { kind: 'answer_cut', detail: why }
   return { kind: 'endpoint_lost', ran: run.isReached ? 'unknown' : 'no', detail: why }
 }
@@ -129,22 +127,23 @@
   const placed = await ctx.placer.place(run.request)
   if (placed.kind === 'placed') return placed
   const { failure } = placed
-  const isTrue = !run.isReached || contracts.toRan(failure) !== 'no'
-  if (isTrue) {
-    ctx.invariants.check('notRunIsTrue', !run.isReached, () => run.exchange.requestId)
+  const isAccurate = !run.isReached || contracts.toRan(failure) !== 'no'
+  if (isAccurate) {
+    ctx.invariants.check('notRunIsTrue', !run.isReached, () => `request ${run.exchange.requestId} was dispatched before but is reported as not run`)
     throw new contracts.FailureError(failure)
   }
   if (failure.kind === 'request_quarantined') throw new contracts.FailureError({ ...failure, ran: 'unknown' })
-  // An endpoint had it before: that nobody takes it now does not mean that it did not run.
-  throw new contracts.FailureError(toLost(run, contracts.describe(failure)))
+  // An earlier attempt may have run, so a failure to place the request again must not be reported as `ran: no`.
+  throw new contracts.FailureError(toLostFailure(run, contracts.describe(failure)))
 }
 
-type FollowEnd =
-  | { kind: 'whole' }
+type AttemptEnd =
+  | { kind: 'completed' }
   | { kind: 'failed', failure: contracts.Failure }
-  | { kind: 'broke', why: string, isFree: boolean, isLinkLost: boolean }
+  /** `isBudgetExempt`: the next attempt is not charged to the retry budget. */
+  | { kind: 'broke', why: string, isBudgetExempt: boolean, isLinkLost: boolean }
 
-async function follow (ctx: context.EntryContext, run: Run, placed: placement.Placed): Promise<FollowEnd> {
+async function readEvents (ctx: context.EntryContext, run: Run, placed: placement.Placed): Promise<AttemptEnd> {
   const { answer, request } = run
   while (true) {
     const event = await placed.attempt.next()
@@ -154,30 +153,30 @@
         return { kind: 'failed', failure: { kind: 'cancelled', ran: 'unknown' } }
       case 'chunk':
         run.isReached = true
-        ctx.invariants.check('attemptMatch', event.attempt === placed.attempt.id, () => `${event.attempt} in ${placed.attempt.id}`)
-        if (answer.append(event.n, event.data) === 'gap') return { kind: 'broke', why: `event ${event.n} where ${answer.nextEventIndex()} was due`, isFree: false, isLinkLost: false }
+        ctx.invariants.check('attemptMatch', event.attempt === placed.attempt.id, () => `received chunk of attempt ${event.attempt} in attempt ${placed.attempt.id}`)
+        if (answer.append(event.n, event.data) === 'gap') return { kind: 'broke', why: `received event ${event.n}, expected ${answer.nextEventIndex()}`, isBudgetExempt: false, isLinkLost: false }
         break
       case 'done':
-        ctx.invariants.check('answerOrder', event.count === answer.nextEventIndex(), () => `${answer.nextEventIndex()} events of ${event.count}`)
+        ctx.invariants.check('answerOrder', event.count === answer.nextEventIndex(), () => `request ${request.requestId}: received ${answer.nextEventIndex()} of ${event.count} events`)
         run.writer.finish()
-        noteDone(ctx, run, event)
-        return { kind: 'whole' }
+        recordCompletion(ctx, run, event)
+        return { kind: 'completed' }
       case 'declined':
         if (event.reason === 'connect_refused') request.excluded.add(placed.endpoint)
-        return { kind: 'broke', why: `declined: ${event.reason}`, isFree: true, isLinkLost: false }
+        return { kind: 'broke', why: `owner declined: ${event.reason}`, isBudgetExempt: true, isLinkLost: false }
       case 'lost':
         run.isReached = true
         return onLost(ctx, run, placed, event)
       case 'linkLost':
-        // Whether the owner went on with it is not known.
+        // The owner may still be running the attempt.
         run.isReached = true
-        return { kind: 'broke', why: `the link to ${placed.owner.id} was lost`, isFree: true, isLinkLost: true }
+        return { kind: 'broke', why: `link to owner ${placed.owner.id} closed`, isBudgetExempt: true, isLinkLost: true }
       default: break
     }
   }
 }
 
-function onLost (ctx: context.EntryContext, run: Run, placed: placement.Placed, event: Extract<contracts.PeerEvent, { t: 'lost' }>): FollowEnd {
+function onLost (ctx: context.EntryContext, run: Run, placed: placement.Placed, event: Extract<contracts.PeerEvent, { t: 'lost' }>): AttemptEnd {
   const { request } = run
   if (event.status !== undefined && event.status < 500) return { kind: 'failed', failure: { kind: 'endpoint_error', status: event.status, detail: event.detail } }
   request.excluded.add(placed.endpoint)
@@ -185,20 +184,20 @@
     ctx.suspects.record(request.fingerprint, event.death)
     request.isSuspect = true
   }
-  // An engine that says itself that it cannot take the request costs no retry.
-  return { kind: 'broke', why: event.detail, isFree: event.status === UNAVAILABLE, isLinkLost: false }
+  // A rejection as unavailable is not charged to the retry budget.
+  return { kind: 'broke', why: event.detail, isBudgetExempt: event.status === SERVICE_UNAVAILABLE, isLinkLost: false }
 }
 
-/** After a lost link, the owner may still have the attempt: the same attempt id takes it up where it was. */
-async function reattach (ctx: context.EntryContext, run: Run, placed: placement.Placed, end: Extract<FollowEnd, { kind: 'broke' }>): Promise<placement.Placed | undefined> {
+/** Reattaches to an attempt that its owner may still be running after the link to the owner closed. */
+async function reattach (ctx: context.EntryContext, run: Run, placed: placement.Placed, end: Extract<AttemptEnd, { kind: 'broke' }>): Promise<placement.Placed | undefined> {
   if (!end.isLinkLost) return undefined
-  const isStillThere = ctx.member.views.find(placed.owner.id)?.incarnation === placed.owner.incarnation
-  if (!isStillThere) return undefined
+  const isSameIncarnation = ctx.member.views.find(placed.owner.id)?.incarnation === placed.owner.incarnation
+  if (!isSameIncarnation) return undefined
   const tried = await ctx.placer.tryEndpoint(run.request, placed.endpoint, { waitMs: 0, importFrom: undefined, attemptId: placed.attempt.id })
   return tried.kind === 'placed' ? tried : undefined
 }
 
-function noteDone (ctx: context.EntryContext, run: Run, event: Extract<contracts.PeerEvent, { t: 'done' }>): void {
+function recordCompletion (ctx: context.EntryContext, run: Run, event: Extract<contracts.PeerEvent, { t: 'done' }>): void {
   const account = ctx.metrics.toAccountLabel(run.account.id)
   ctx.metrics.duration.observe({ account, priority: run.priority }, (performance.now() - run.startedAt) / 1000)
   ctx.metrics.requests.inc({ account, outcome: 'answered' })
--- a/packages/router/src/chatRequest.ts
+++ b/packages/router/src/chatRequest.ts
@@ -1,43 +1,37 @@
-/** What routing reads of a chat completion request, and what an engine gets of it. */
+/** Parses chat completion requests, derives their affinity key and builds the request body for engines. */
 import * as contracts from '@kingcupdeck/contracts'
 import type * as answers from './answer.js'
 import * as helpers from './http.js'
 
-/** A chat with this many messages was here before: a question, its answer, and the next question. */
-const RETURNING_MESSAGES = 3
+/** From this many messages on, a chat contains at least one earlier answer. */
+const MIN_MULTI_TURN_MESSAGES = 3
 const CHAT_KEY_CHARS = 24
 
 /**
- * Checks a request.
- * @param input the parsed body
- * @returns the request
- * @throws FailureError `bad_request`, with every fault at its field
+ * Validates a chat completion request.
+ * @param input the parsed JSON body
+ * @throws FailureError `bad_request`, listing every invalid field
  */
 export function parseChat (input: unknown): contracts.ChatRequest {
   const parsed = contracts.chatRequest.safeParse(input)
   if (parsed.success) return parsed.data
   const faults = parsed.error.issues.map(issue => `${issue.path.join('.') || 'body'}: ${issue.message}`)
-  throw new contracts.FailureError({ kind: 'bad_request', detail: `The request is not a chat completion: ${faults.join('; ')}` })
+  throw new contracts.FailureError({ kind: 'bad_request', detail: `The body is not a valid chat completion request: ${faults.join('; ')}` })
 }
 
 /**
- * The request as an engine gets it: always a stream, and with the text so far where another engine began the answer.
- * @param chat the request
- * @param answer what the caller has already
- * @returns the body
+ * Builds the request body for an engine: always streaming, and with the text generated so far when resuming an answer.
+ * @param answer the events that the caller has received
  */
 export function toEngineBody (chat: contracts.ChatRequest, answer: answers.PartialAnswer): Uint8Array {
-  const due = answer.nextEventIndex()
-  const resume = due > 0 ? { kingcupdeck_resume: { offset: due, text: answer.text() } } : {}
+  const offset = answer.nextEventIndex()
+  const resume = offset > 0 ? { kingcupdeck_resume: { offset, text: answer.text() } } : {}
   return Buffer.from(JSON.stringify({ ...chat, stream: true, stream_options: { ...chat.stream_options, include_usage: true }, ...resume }))
 }
 
 /**
- * What keeps a chat together: the id that the caller gives, or else its opening.
- * @param exchange the caller's request
+ * Derives the affinity key of a chat from the caller's chat id, or else from its messages up to the first user message.
  * @param account the client account; chats of different accounts never share a key
- * @param chat the request
- * @returns a short digest
  */
 export function toChatKey (exchange: helpers.Exchange, account: string, chat: contracts.ChatRequest): string {
   const named = helpers.toHeader(exchange.req, contracts.HEADERS.chat) ?? chat.prompt_cache_key ?? undefined
@@ -47,21 +41,15 @@
 }
 
 /**
- * The key of a chat that is named, as the address lookup has it.
+ * Derives the affinity key of a chat with a caller-supplied id.
  * @param account the client account
- * @param model the model that the chat uses
- * @param name the caller's id of the chat
- * @returns a short digest
+ * @param name the caller's chat id
  */
 export function toNamedChatKey (account: string, model: string, name: string): string {
   return contracts.sha256(`${account}\n${model}\n${name}`).slice(0, CHAT_KEY_CHARS)
 }
 
-/**
- * Tells whether a chat was here before, so that a cache is worth looking for.
- * @param chat the request
- * @returns whether it returns
- */
+/** Whether a chat has earlier turns, so that an engine may have its KV cache. */
 export function isMultiTurn (chat: contracts.ChatRequest): boolean {
-  return chat.messages.length >= RETURNING_MESSAGES
+  return chat.messages.length >= MIN_MULTI_TURN_MESSAGES
 }
--- a/packages/router/src/detachedSession.ts
+++ b/packages/router/src/detachedSession.ts
@@ -1,14 +1,13 @@
-/** Attempts whose entry instance went away. */
+/** Aborts attempts whose entry instance has disconnected. */
 import type * as sessions from './session.js'
 
-/** An attempt whose entry instance went away is kept this long for it to attach again, milliseconds. */
-const DETACHED_MS = 3000
-const LOOK_MS = 500
+/** Time allowed for the entry instance to reattach. */
+const REATTACH_TIMEOUT_MS = 3000
+const POLL_INTERVAL_MS = 500
 
 /**
- * Ends an attempt whose entry instance went away and did not come back.
- * @param session the attempt
- * @param drop ends it
+ * Watches an attempt and aborts it when its entry instance stays detached.
+ * @param drop aborts the attempt
  */
 export function watchDetached (session: sessions.Session, drop: () => void): void {
   let detachedAt: number | undefined
@@ -19,8 +18,8 @@
     }
     if (session.isAttached()) detachedAt = undefined
     else detachedAt ??= performance.now()
-    if (detachedAt === undefined || performance.now() - detachedAt < DETACHED_MS) return
+    if (detachedAt === undefined || performance.now() - detachedAt < REATTACH_TIMEOUT_MS) return
     clearInterval(timer)
     drop()
-  }, LOOK_MS)
+  }, POLL_INTERVAL_MS)
 }
--- a/packages/router/src/session.ts
+++ b/packages/router/src/session.ts
@@ -1,11 +1,11 @@
 /**
- * One attempt at its owner, from admission to its end. The events that were sent are kept while the attempt runs, so that
- * an entry instance whose link went silent can attach again over a new one and miss nothing.
+ * One attempt at its owner, from dispatch to its end. Sent events are retained until then, so that an entry instance can
+ * reattach over a new link without losing any.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import type * as attempts from './attempts.js'
 
-/** How far an attempt has come. */
+/** Lifecycle of an attempt at its owner. */
 export type SessionState = 'queued' | 'admitted' | 'dispatched' | 'ended'
 
 /** One attempt at its owner. */
@@ -17,32 +17,27 @@
   readonly abort: AbortController
   admittedAt: number
   queuedAt: number
-  /** Ends the wait in the queue. */
+  /** Declines the attempt when it has waited in the queue for too long. */
   patienceTimer: NodeJS.Timeout | undefined
-  /** Sends an event to the entry instance, and keeps it. */
+  /** Sends an event to the entry instance and retains it. */
   emit (event: contracts.PeerEvent): void
-  /** Takes a new way to the entry instance; sends again what comes after chunk `from`. */
+  /** Switches to a new sink and resends retained events; chunks are resent from number `from` on. */
   attach (sink: attempts.EventSink, from: number): void
-  /** Whether the entry instance can still be reached. */
+  /** Whether the entry instance is still reachable. */
   isAttached (): boolean
   drained (): Promise<void>
-  /** Next chunk number that the owner expects from the engine. */
+  /** Number of the next chunk expected from the engine. */
   nextChunk: number
-  /** Whether its connection broke and the owner is finding out whether the endpoint died. */
+  /** Whether its connection broke and the health probe of the endpoint is in progress. */
   isBroken: boolean
-  /** Whether the engine sent the finish of the answer. */
+  /** Whether the engine sent a final event. */
   isFinished: boolean
 }
 
-/**
- * Creates a session.
- * @param msg the request
- * @param first where its events go
- * @returns the session, not admitted yet
- */
-export function createSession (msg: contracts.Dispatch, first: attempts.EventSink): Session {
-  let sink = first
-  const kept: contracts.PeerEvent[] = []
+/** Creates a session in state `queued`. */
+export function createSession (msg: contracts.Dispatch, initialSink: attempts.EventSink): Session {
+  let sink = initialSink
+  const sentEvents: contracts.PeerEvent[] = []
   return {
     msg,
     state: 'queued',
@@ -55,12 +50,12 @@
     isBroken: false,
     nextChunk: msg.work.kind === 'chat' ? msg.work.resumeFrom : 0,
     emit (event) {
-      kept.push(event)
+      sentEvents.push(event)
       sink.send(event)
     },
-    attach (next, from) {
-      sink = next
-      for (const event of kept) {
+    attach (newSink, from) {
+      sink = newSink
+      for (const event of sentEvents) {
         if (event.t !== 'chunk' || event.n >= from) sink.send(event)
       }
     },
