--- a/packages/router/src/chatLocations.ts
+++ b/packages/router/src/chatLocations.ts
@@ -1,34 +1,33 @@
-/** Where chats ran that their first endpoint had no room for. */
+/** Remembers which endpoint served a chat that spilled from its home. */
 import type * as contracts from '@kingcupdeck/contracts'
 import type * as membership from '@kingcupdeck/membership'
 import * as routing from '@kingcupdeck/routing'
 
-/** Where chats ran. */
+/** Locations of spilled chats. */
 export interface ChatLocations {
-  /** Remembers where a chat ran. */
+  /** Records the endpoint that served a chat; the home itself clears the record. */
   record (chat: string, home: string, endpoint: string): void
-  /** @returns the other endpoint that a request should be pointed to, once, while that one is ready */
+  /** @returns the endpoint to redirect a request to, or undefined if none is recorded, ready and eligible */
   find (msg: contracts.Dispatch): string | undefined
 }
 
 /**
- * Creates the memory of places.
- * @param table the endpoints as announced
- * @returns the memory, empty
+ * Creates an empty record of spilled chats.
+ * @param table the announced endpoints
  */
 export function createChatLocations (table: membership.EndpointTable): ChatLocations {
-  const places = routing.createAffinityTable()
+  const locations = routing.createAffinityTable()
   return {
     record (chat, home, endpoint) {
-      if (home === endpoint) places.delete(`${chat}\n${home}`)
-      else places.set(`${chat}\n${home}`, endpoint)
+      if (home === endpoint) locations.delete(`${chat}\n${home}`)
+      else locations.set(`${chat}\n${home}`, endpoint)
     },
     find (msg) {
       if (msg.work.kind !== 'chat' || msg.waitMs > 0) return undefined
-      const place = places.get(`${msg.work.chat}\n${msg.endpoint}`)
-      const entry = place === undefined ? undefined : table.get(place)
+      const location = locations.get(`${msg.work.chat}\n${msg.endpoint}`)
+      const entry = location === undefined ? undefined : table.get(location)
       const isUsable = entry?.state === 'ready' && entry.models.includes(msg.work.model) && msg.work.avoid?.includes(entry.id) !== true
-      return isUsable && place !== msg.endpoint ? place : undefined
+      return isUsable && location !== msg.endpoint ? location : undefined
     }
   }
 }
--- a/packages/router/src/endpointGossip.ts
+++ b/packages/router/src/endpointGossip.ts
@@ -1,34 +1,30 @@
-/** What an owner tells the other instances of its endpoints: only what changed of them is spread. */
+/** Publishes state changes of owned endpoints to the other instances by gossip. */
 import * as contracts from '@kingcupdeck/contracts'
 import * as membership from '@kingcupdeck/membership'
 import * as telemetry from '@kingcupdeck/telemetry'
 import type * as ownedEndpoint from './ownedEndpoint.js'
 
-/** News of endpoints. */
+/** Publishes state changes of owned endpoints. */
 export interface EndpointGossip {
-  /** Spreads what an announcement changes. */
+  /** Publishes an announcement if it changes the endpoint's record. */
   publishAnnouncement (announcement: contracts.Announcement): void
-  /** Spreads that an endpoint went away or silent. */
+  /** Marks an endpoint as gone and publishes it. */
   publishGone (endpoint: ownedEndpoint.OwnedEndpoint): void
 }
 
-/** What news is made with. */
+/** Dependencies of {@link createEndpointGossip}. */
 export interface EndpointGossipOptions { table: membership.EndpointTable, gossip: membership.Gossip, log: telemetry.Log }
 
-/**
- * Creates the news of an owner.
- * @param opts the table and the way to others
- * @returns the news
- */
+/** Creates the gossip publisher of an owner. */
 export function createEndpointGossip (opts: EndpointGossipOptions): EndpointGossip {
   const { table, gossip, log } = opts
   return {
     publishAnnouncement (announcement) {
       const entry = toEntry(announcement)
-      const known = table.get(entry.id)
-      const isSame = known !== undefined && JSON.stringify({ ...known, seq: 0 }) === JSON.stringify({ ...entry, seq: 0 })
+      const current = table.get(entry.id)
+      const isSame = current !== undefined && JSON.stringify({ ...current, seq: 0 }) === JSON.stringify({ ...entry, seq: 0 })
       if (isSame || !gossip.merge(entry)) return
-      if (known?.state !== entry.state) log.event(entry.state === 'ready' ? 'endpointJoined' : 'endpointLeaving', { endpoint: entry.id, service: entry.service })
+      if (current?.state !== entry.state) log.event(entry.state === 'ready' ? 'endpointJoined' : 'endpointLeaving', { endpoint: entry.id, service: entry.service })
     },
     publishGone (endpoint) {
       const entry = table.get(endpoint.id)
--- a/packages/router/src/ownedEndpoint.ts
+++ b/packages/router/src/ownedEndpoint.ts
@@ -1,52 +1,51 @@
-/** An endpoint as its owner keeps it: the exact count in flight, the queue, the connections and the last announcement. */
+/** State of an endpoint at its owner: requests in flight, queue, connections and last announcement. */
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
 import * as routing from '@kingcupdeck/routing'
 import type * as session from './session.js'
 
-/** An endpoint as its owner keeps it. */
+/** State of an endpoint at its owner. */
 export interface OwnedEndpoint {
   readonly id: string
-  /** The last announcement that came here; undefined once another instance owns the endpoint. */
+  /** The last announcement received; undefined once another instance owns the endpoint. */
   announcement: contracts.Announcement | undefined
   lastAnnouncementAt: number
-  /** The interval between announcements that it was asked for. */
+  /** Announcement interval requested from the endpoint. */
   intervalMs: number
   client: links.EndpointClient
   address: string
-  /** Requests admitted and not ended; the exact count in flight of this owner. */
+  /** Requests admitted by this owner and not ended. */
   readonly sessions: Set<session.Session>
   readonly queue: routing.FairQueue<session.Session>
   readonly waitEstimate: routing.WaitEstimator
-  /** Requests of an earlier owner that may still run: an upper bound that only falls. */
+  /** Upper bound, never increasing, on the previous owner's requests that may still run. */
   inheritedLoad: number
-  /** Lowest own count since the last announcement, and in the interval before. */
+  /** Minimum of `sessions.size` since the last announcement and in the interval before it. */
   lowestOwnLoad: { current: number, previous: number }
-  /** The suspect that runs here; no other may run beside it. */
+  /** The suspect request running here; at most one runs at a time. */
   suspect: session.Session | undefined
   /** Highest fencing number sent to it or announced by it. */
   highestFence: number
   orderedAt: number
-  /** Times at which it came back after being gone. */
+  /** Times at which it returned after it was marked as gone. */
   recoveries: number[]
+  /** No requests are admitted before this time, after repeated recoveries. */
   suspendedUntil: number
   isMarkedGone: boolean
-  /** The check of whether it died, while one is under way. */
+  /** The health probe in progress, if any. */
   pendingProbe: Promise<ProbeResult> | undefined
 }
 
-/** What became of an endpoint whose connection failed. */
+/** Result of probing an endpoint whose connection failed. */
 export type ProbeResult = 'alive' | 'died' | 'unresponsive'
 
 const FLAP_WINDOW_MS = 60_000
-const FLAPS_ALLOWED = 2
-const MAX_HOLD_MS = 30_000
+const MAX_FLAPS = 2
+const MAX_SUSPENSION_MS = 30_000
 
 /**
- * Creates an owned endpoint that has not announced itself here yet.
- * @param id the endpoint
- * @param address IP number and port
- * @returns the endpoint
+ * Creates the state of an endpoint before its first announcement.
+ * @param address IP address and port
  */
 export function createOwnedEndpoint (id: string, address: string): OwnedEndpoint {
   return {
@@ -71,34 +70,27 @@
   }
 }
 
-/**
- * Tells whether an announcement is an earlier one, or the same once more.
- * @param endpoint the endpoint
- * @param announcement what it says of itself
- * @returns whether it says nothing new
- */
+/** Whether an announcement is not newer than the last one applied. */
 export function isOutdated (endpoint: OwnedEndpoint, announcement: contracts.Announcement): boolean {
   const known = endpoint.announcement
   return known !== undefined && (known.boot > announcement.boot || (known.boot === announcement.boot && known.seq >= announcement.seq))
 }
 
 /**
- * Takes an announcement into the owner's books.
- * @param endpoint the endpoint
- * @param announcement what it says of itself
- * @param handedOver requests that an earlier owner says it still has in flight there
+ * Applies an announcement to the endpoint's state.
+ * @param handedOverLoad requests that the previous owner reported in flight
  */
-export function applyAnnouncement (endpoint: OwnedEndpoint, announcement: contracts.Announcement, handedOver: number): void {
-  const before = endpoint.announcement
+export function applyAnnouncement (endpoint: OwnedEndpoint, announcement: contracts.Announcement, handedOverLoad: number): void {
+  const previous = endpoint.announcement
   const address = `${announcement.host}:${announcement.port}`
   if (address !== endpoint.address) {
     endpoint.client.closeIdle()
     endpoint.client = links.createEndpointClient(`http://${address}`)
     endpoint.address = address
   }
-  if (before === undefined) endpoint.inheritedLoad = Math.max(handedOver, announcement.load - endpoint.sessions.size)
-  else if (before.boot !== announcement.boot) endpoint.inheritedLoad = 0
-  else lowerForeign(endpoint, announcement.load)
+  if (previous === undefined) endpoint.inheritedLoad = Math.max(handedOverLoad, announcement.load - endpoint.sessions.size)
+  else if (previous.boot !== announcement.boot) endpoint.inheritedLoad = 0
+  else lowerInheritedLoad(endpoint, announcement.load)
   endpoint.lowestOwnLoad = { current: endpoint.sessions.size, previous: endpoint.lowestOwnLoad.current }
   endpoint.announcement = announcement
   endpoint.lastAnnouncementAt = performance.now()
@@ -106,51 +98,38 @@
 }
 
 /**
- * The announced load is old by an unknown lag, but at that time it was our own count plus the foreign one, and the
- * foreign one only falls. So what is left after our lowest own count in the interval is an upper bound.
+ * Lowers the bound on inherited load. The announced load is own plus inherited load at an unknown earlier time, and
+ * inherited load never increases, so the announced load minus the lowest own load of the interval is an upper bound.
  */
-function lowerForeign (endpoint: OwnedEndpoint, announcedLoad: number): void {
+function lowerInheritedLoad (endpoint: OwnedEndpoint, announcedLoad: number): void {
   const lowest = Math.min(endpoint.lowestOwnLoad.current, endpoint.lowestOwnLoad.previous)
   endpoint.inheritedLoad = Math.min(endpoint.inheritedLoad, Math.max(0, announcedLoad - lowest))
 }
 
-/**
- * The exact load as the cap counts it.
- * @param endpoint the endpoint
- * @returns requests in flight, those of an earlier owner among them
- */
+/** Returns the number of requests in flight, including inherited ones. */
 export function toLoad (endpoint: OwnedEndpoint): number {
   return endpoint.sessions.size + endpoint.inheritedLoad
 }
 
-/**
- * Tells whether an endpoint has missed its announcements.
- * @param endpoint the endpoint
- * @returns whether it must be taken for gone
- */
+/** Whether an endpoint has missed enough announcements to be considered gone. */
 export function isUnresponsive (endpoint: OwnedEndpoint): boolean {
   return performance.now() - endpoint.lastAnnouncementAt > contracts.ANNOUNCE_TIMEOUT_INTERVALS * endpoint.intervalMs
 }
 
-/**
- * Tells whether an endpoint takes work at all.
- * @param endpoint the endpoint
- * @returns whether it lately said that it is ready
- */
+/** Whether an endpoint's last announcement says `ready` and is recent. */
 export function isReady (endpoint: OwnedEndpoint): boolean {
   return endpoint.announcement?.state === 'ready' && !isUnresponsive(endpoint)
 }
 
 /**
- * Notes that an endpoint came back, and holds one back that comes and goes.
- * @param endpoint the endpoint
- * @returns whether it is held back now
+ * Records that an endpoint returned, and suspends it with exponential backoff if it is flapping.
+ * @returns whether it was suspended
  */
 export function recordRecovery (endpoint: OwnedEndpoint): boolean {
   const now = performance.now()
   endpoint.recoveries = [...endpoint.recoveries.filter(at => now - at < FLAP_WINDOW_MS), now]
-  const excess = endpoint.recoveries.length - FLAPS_ALLOWED
+  const excess = endpoint.recoveries.length - MAX_FLAPS
   if (excess <= 0) return false
-  endpoint.suspendedUntil = now + Math.min(MAX_HOLD_MS, 1000 * 2 ** excess)
+  endpoint.suspendedUntil = now + Math.min(MAX_SUSPENSION_MS, 1000 * 2 ** excess)
   return true
 }
--- a/packages/router/src/owner.ts
+++ b/packages/router/src/owner.ts
@@ -1,6 +1,6 @@
 /**
- * The owner role: all work for an endpoint passes through the one instance that owns it, so the load cap, the end of work
- * for a leaving endpoint, and the fencing of orders are local checks on exact counts.
+ * The owner role: all requests for an endpoint pass through the one instance that owns it, so that the load cap, draining
+ * and the fencing of orders are local checks on exact counts.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import * as membership from '@kingcupdeck/membership'
@@ -11,12 +11,12 @@
 import * as detachedSessions from './detachedSession.js'
 import * as endpointGossip from './endpointGossip.js'
 import * as execution from './execution.js'
-import * as memory from './expiringSet.js'
+import * as expiringSets from './expiringSet.js'
 import * as ownedEndpoint from './ownedEndpoint.js'
 import * as poolLoads from './poolLoads.js'
 import * as sessions from './session.js'
 
-/** What the owner role is built from. */
+/** Dependencies of {@link createOwner}. */
 export interface OwnerOptions {
   member: membership.Membership
   table: membership.EndpointTable
@@ -26,61 +26,61 @@
   metrics: telemetry.RouterMetrics
   invariants: telemetry.Invariants
   policy: routing.PlacementPolicy
-  /** Whether chats that run away from their cache take it along. */
+  /** Whether an engine imports a chat's KV cache from the endpoint that last served the chat. */
   isKvImportEnabled: boolean
-  /** Tells all peers of suspects. */
+  /** Sends suspects to all peers. */
   broadcastSuspects (fingerprints: readonly string[]): void
 }
 
 /** The owner role of an instance. */
 export interface Owner {
   readonly endpoints: ReadonlyMap<string, ownedEndpoint.OwnedEndpoint>
-  /** Takes a request for an endpoint; its events go to the sink. */
+  /** Admits, queues or declines a request for an endpoint; events go to the sink. */
   dispatch (msg: contracts.Dispatch, sink: attempts.EventSink): void
-  /** Drops an attempt. @returns whether a byte of it may have reached an endpoint */
+  /** Cancels an attempt. @returns whether a byte of it may have reached an endpoint */
   cancel (attempt: string): { reached: boolean }
-  /** Takes an announcement of an endpoint that this instance owns. @returns when the next one is wanted, ms */
-  receiveAnnouncement (announcement: contracts.Announcement, handedOver: number): number
-  /** Remembers where a chat ran. */
+  /**
+   * Applies an announcement of an endpoint that this instance owns.
+   * @param handedOverLoad requests that the previous owner reported in flight
+   * @returns the requested interval until the next announcement, in milliseconds
+   */
+  receiveAnnouncement (announcement: contracts.Announcement, handedOverLoad: number): number
+  /** Records the endpoint that served a chat. */
   recordChatLocation (chat: string, home: string, endpoint: string): void
-  /** @returns whether this instance owns an endpoint and nobody else can still act as its owner */
+  /** Whether this instance owns an endpoint and no other instance can still act as its owner. */
   owns (endpoint: membership.EndpointLocation): boolean
-  /** Forgets endpoints that are owned elsewhere or gone, once nothing of theirs runs here. */
+  /** Removes endpoints that have no requests here and are gone or owned by another instance. */
   removeIdle (): void
-  /** Notes that an endpoint went away or silent. */
+  /** Marks an endpoint as gone and declines its queue. */
   markGone (endpoint: ownedEndpoint.OwnedEndpoint): void
-  /** Admits what can be admitted now. */
+  /** Admits queued requests up to the load cap. */
   admitQueued (endpoint: ownedEndpoint.OwnedEndpoint): void
-  /** Ends the wait of everything queued on an endpoint. */
+  /** Declines all queued requests of an endpoint. */
   declineQueue (endpoint: ownedEndpoint.OwnedEndpoint, reason: contracts.DeclineReason): void
-  /** @returns the endpoints that announce themselves here, for operators */
+  /** Returns the endpoints that announce themselves to this instance. */
   toStatus (): contracts.EndpointStatus[]
-  /** @returns what is in flight, per pool */
+  /** Returns the requests in flight per pool. */
   loads (): contracts.PoolLoad[]
-  /** @returns requests in flight or queued */
+  /** Returns the number of requests in flight or queued. */
   inFlight (): number
 }
 
-/** Cancelled attempts are remembered this long, in case their request is still under way on a dead link. */
-const CANCELLED_MEMORY_MS = 30_000
+/** Retention of cancelled attempt ids, for dispatches that arrive late on an old link. */
+const CANCELLED_RETENTION_MS = 30_000
 
-/**
- * Creates the owner role.
- * @param opts what it works with
- * @returns the role, owning nothing yet
- */
+/** Creates the owner role. */
 export function createOwner (opts: OwnerOptions): Owner {
   const { member, table, suspects, invariants, metrics } = opts
   const endpoints = new Map<string, ownedEndpoint.OwnedEndpoint>()
-  const bySession = new Map<string, sessions.Session>()
-  const cancelled = memory.createExpiringSet(CANCELLED_MEMORY_MS)
-  const endedReached = memory.createExpiringSet(CANCELLED_MEMORY_MS)
-  const places = chatLocations.createChatLocations(table)
+  const sessionsByAttempt = new Map<string, sessions.Session>()
+  const cancelled = expiringSets.createExpiringSet(CANCELLED_RETENTION_MS)
+  const reachedAttempts = expiringSets.createExpiringSet(CANCELLED_RETENTION_MS)
+  const locations = chatLocations.createChatLocations(table)
   const isCapped = opts.policy === 'owner'
   const loads = poolLoads.createPoolLoads({ endpoints, member, table, isCapped })
-  const news = endpointGossip.createEndpointGossip(opts)
+  const publisher = endpointGossip.createEndpointGossip(opts)
 
-  const ensure = (id: string, address: string): ownedEndpoint.OwnedEndpoint => {
+  const getOrCreate = (id: string, address: string): ownedEndpoint.OwnedEndpoint => {
     let endpoint = endpoints.get(id)
     if (endpoint === undefined) {
       endpoint = ownedEndpoint.createOwnedEndpoint(id, address)
@@ -96,9 +96,8 @@
     return views.ownerOf(endpoint)?.id === member.self().id && views.isOwnershipSettled(endpoint)
   }
 
-  /** @returns why an endpoint takes no work now, or undefined if it does */
-  const findObstacle = (endpoint: ownedEndpoint.OwnedEndpoint, msg: contracts.Dispatch): contracts.DeclineReason | undefined => {
-    // A request is void for an owner that lapsed since: its sender may have been told that it cannot run any more.
+  const findDeclineReason = (endpoint: ownedEndpoint.OwnedEndpoint, msg: contracts.Dispatch): contracts.DeclineReason | undefined => {
+    // Void after this instance lost its lease: the sender may already have reported the request as not run.
     if (!member.isServing() || member.self().incarnation !== msg.incarnation) return 'void'
     const entry = table.get(endpoint.id)
     if (entry === undefined || !owns(entry)) return 'not_owner'
@@ -107,30 +106,29 @@
     return undefined
   }
 
-  const isSuspectInTheWay = (endpoint: ownedEndpoint.OwnedEndpoint, msg: contracts.Dispatch): boolean => msg.suspect !== undefined && endpoint.suspect !== undefined
+  const isBlockedBySuspect = (endpoint: ownedEndpoint.OwnedEndpoint, msg: contracts.Dispatch): boolean => msg.suspect !== undefined && endpoint.suspect !== undefined
 
   const decline = (session: sessions.Session, reason: contracts.DeclineReason, extra: { load?: number, retryAfterMs?: number, endpoint?: string } = {}): void => {
     clearTimeout(session.patienceTimer)
     session.state = 'ended'
-    bySession.delete(session.msg.attempt)
+    sessionsByAttempt.delete(session.msg.attempt)
     metrics.attempts.inc({ outcome: `declined_${reason}` })
-    invariants.check('notRunIsTrue', !session.reached, () => `${session.msg.attempt} declined as ${reason} after it was sent`)
+    invariants.check('notRunIsTrue', !session.reached, () => `attempt ${session.msg.attempt} declined with ${reason} after it was sent`)
     session.emit({ t: 'declined', attempt: session.msg.attempt, reason, load: extra.load ?? 0, retryAfterMs: extra.retryAfterMs ?? 0, endpoint: extra.endpoint })
   }
 
-  // While requests wait for the cap, it must rise quickly: it can grow by the load factor with each exchange of loads, and
-  // a burst would otherwise wait for a dozen of them.
+  // The cap grows at most by the load factor per exchange of loads, so loads are reported early while requests are queued.
   const reportLoads = (): void => { member.reportLoads([...endpoints.values()].some(item => item.queue.size() > 0)) }
 
   const admit = (endpoint: ownedEndpoint.OwnedEndpoint, session: sessions.Session, cap: poolLoads.Cap): void => {
     const load = ownedEndpoint.toLoad(endpoint) + 1
-    invariants.check('loadCap', load <= cap.cap, () => `${endpoint.id} at ${load}, cap ${cap.cap}, total ${cap.total}, heard ${Math.round(cap.ageMs)} ms ago`)
+    invariants.check('loadCap', load <= cap.cap, () => `${endpoint.id} has load ${load}, cap ${cap.cap}, total ${cap.total}, loads of other instances ${Math.round(cap.ageMs)} ms old`)
     clearTimeout(session.patienceTimer)
     session.state = 'admitted'
     session.admittedAt = performance.now()
     endpoint.sessions.add(session)
     if (session.msg.suspect !== undefined) {
-      invariants.check('suspectsApart', endpoint.suspect === undefined, () => `two suspects on ${endpoint.id}`)
+      invariants.check('suspectsApart', endpoint.suspect === undefined, () => `two suspect requests on ${endpoint.id}`)
       endpoint.suspect = session
     }
     metrics.queued.observe({ priority: String(session.msg.rank) }, (session.admittedAt - session.queuedAt) / 1000)
@@ -144,7 +142,7 @@
       ...opts,
       endpoint,
       session,
-      findDeclineReason: () => findObstacle(endpoint, session.msg),
+      findDeclineReason: () => findDeclineReason(endpoint, session.msg),
       markGone: () => { markGone(endpoint) }
     })
     endpoint.sessions.delete(session)
@@ -152,14 +150,14 @@
     if (endpoint.suspect === session) endpoint.suspect = undefined
     endpoint.waitEstimate.record(performance.now() - session.admittedAt)
     if (end.kind === 'declined') decline(session, end.reason)
-    if (session.reached) endedReached.add(session.msg.attempt)
+    if (session.reached) reachedAttempts.add(session.msg.attempt)
     session.state = 'ended'
-    bySession.delete(session.msg.attempt)
+    sessionsByAttempt.delete(session.msg.attempt)
     reportLoads()
-    pump(endpoint)
+    admitQueued(endpoint)
   }
 
-  const pump = (endpoint: ownedEndpoint.OwnedEndpoint): void => {
+  const admitQueued = (endpoint: ownedEndpoint.OwnedEndpoint): void => {
     while (endpoint.queue.size() > 0) {
       const announcement = endpoint.announcement
       if (announcement === undefined) {
@@ -168,11 +166,11 @@
       }
       const cap = loads.toCap(endpoint)
       if (ownedEndpoint.toLoad(endpoint) + 1 > cap.cap) return
-      const next = endpoint.queue.take(session => !isSuspectInTheWay(endpoint, session.msg))
+      const next = endpoint.queue.take(session => !isBlockedBySuspect(endpoint, session.msg))
       if (next === undefined) return
-      const obstacle = findObstacle(endpoint, next.item.msg)
-      if (obstacle === undefined) admit(endpoint, next.item, cap)
-      else decline(next.item, obstacle)
+      const reason = findDeclineReason(endpoint, next.item.msg)
+      if (reason === undefined) admit(endpoint, next.item, cap)
+      else decline(next.item, reason)
     }
   }
 
@@ -188,7 +186,7 @@
   const enqueue = (endpoint: ownedEndpoint.OwnedEndpoint, session: sessions.Session): void => {
     const { msg } = session
     const predictedMs = predictWait(endpoint, msg.rank)
-    // Given up on at once: holding the answer back until the patience is over would help nobody.
+    // Declined immediately, because the wait would exceed the caller's patience.
     if (predictedMs > msg.waitMs) {
       decline(session, 'patience', { load: ownedEndpoint.toLoad(endpoint), retryAfterMs: predictedMs })
       return
@@ -198,23 +196,23 @@
       if (endpoint.queue.remove(session)) decline(session, 'patience', { retryAfterMs: predictWait(endpoint, msg.rank) })
     }, msg.waitMs)
     reportLoads()
-    pump(endpoint)
+    admitQueued(endpoint)
   }
 
   const markGone = (endpoint: ownedEndpoint.OwnedEndpoint): void => {
-    news.publishGone(endpoint)
+    publisher.publishGone(endpoint)
     declineQueue(endpoint, 'unready')
   }
 
-  const attachAgain = (msg: contracts.Dispatch, sink: attempts.EventSink): boolean => {
-    const session = bySession.get(msg.attempt)
+  const reattach = (msg: contracts.Dispatch, sink: attempts.EventSink): boolean => {
+    const session = sessionsByAttempt.get(msg.attempt)
     if (session === undefined) return false
     session.attach(sink, msg.work.kind === 'chat' ? msg.work.resumeFrom : 0)
     return true
   }
 
   const dispatch = (msg: contracts.Dispatch, sink: attempts.EventSink): void => {
-    if (attachAgain(msg, sink)) return
+    if (reattach(msg, sink)) return
     const session = sessions.createSession(msg, sink)
     const entry = table.get(msg.endpoint)
     const endpoint = endpoints.get(msg.endpoint)
@@ -226,32 +224,32 @@
       decline(session, entry !== undefined && owns(entry) ? 'unready' : 'not_owner')
       return
     }
-    const obstacle = findObstacle(endpoint, msg) ?? (isSuspectInTheWay(endpoint, msg) ? 'suspect_running' : undefined)
-    if (obstacle !== undefined) {
-      decline(session, obstacle, { load: ownedEndpoint.toLoad(endpoint), retryAfterMs: suspects.remainingMs(msg.fingerprint) })
+    const reason = findDeclineReason(endpoint, msg) ?? (isBlockedBySuspect(endpoint, msg) ? 'suspect_running' : undefined)
+    if (reason !== undefined) {
+      decline(session, reason, { load: ownedEndpoint.toLoad(endpoint), retryAfterMs: suspects.remainingMs(msg.fingerprint) })
       return
     }
-    const place = isCapped ? places.find(msg) : undefined
-    if (place !== undefined) {
-      decline(session, 'elsewhere', { load: ownedEndpoint.toLoad(endpoint), endpoint: place })
+    const location = isCapped ? locations.find(msg) : undefined
+    if (location !== undefined) {
+      decline(session, 'elsewhere', { load: ownedEndpoint.toLoad(endpoint), endpoint: location })
       return
     }
-    bySession.set(msg.attempt, session)
+    sessionsByAttempt.set(msg.attempt, session)
     detachedSessions.watchDetached(session, () => { drop(session) })
     const cap = loads.toCap(endpoint)
-    const isFree = ownedEndpoint.toLoad(endpoint) + 1 <= cap.cap && endpoint.queue.size() === 0
-    if (isFree) admit(endpoint, session, cap)
+    const hasCapacity = ownedEndpoint.toLoad(endpoint) + 1 <= cap.cap && endpoint.queue.size() === 0
+    if (hasCapacity) admit(endpoint, session, cap)
     else if (msg.waitMs > 0) enqueue(endpoint, session)
     else decline(session, 'full', { load: ownedEndpoint.toLoad(endpoint) })
   }
 
   const drop = (session: sessions.Session): { reached: boolean } => {
-    // A non-idempotent call that is on its way is never cut off: its answer must reach the ledger.
-    const isKept = session.msg.work.kind === 'plain' && !session.msg.work.idempotent && session.reached
+    // A non-idempotent call that was sent is never aborted, because its answer must be recorded in the ledger.
+    const mustFinish = session.msg.work.kind === 'plain' && !session.msg.work.idempotent && session.reached
     if (session.state === 'queued') {
       for (const endpoint of endpoints.values()) endpoint.queue.remove(session)
       decline(session, 'void')
-    } else if (!isKept) session.abort.abort()
+    } else if (!mustFinish) session.abort.abort()
     return { reached: session.reached }
   }
 
@@ -260,33 +258,33 @@
     dispatch,
     cancel (attempt) {
       cancelled.add(attempt)
-      const session = bySession.get(attempt)
-      if (session === undefined) return { reached: endedReached.has(attempt) }
+      const session = sessionsByAttempt.get(attempt)
+      if (session === undefined) return { reached: reachedAttempts.has(attempt) }
       return drop(session)
     },
-    receiveAnnouncement (announcement, handedOver) {
-      const endpoint = ensure(announcement.endpoint, `${announcement.host}:${announcement.port}`)
+    receiveAnnouncement (announcement, handedOverLoad) {
+      const endpoint = getOrCreate(announcement.endpoint, `${announcement.host}:${announcement.port}`)
       if (ownedEndpoint.isOutdated(endpoint, announcement)) return endpoint.intervalMs
-      const isBack = endpoint.isMarkedGone && announcement.state === 'ready'
-      ownedEndpoint.applyAnnouncement(endpoint, announcement, handedOver)
-      if (isBack) {
+      const isRecovery = endpoint.isMarkedGone && announcement.state === 'ready'
+      ownedEndpoint.applyAnnouncement(endpoint, announcement, handedOverLoad)
+      if (isRecovery) {
         endpoint.isMarkedGone = false
         if (ownedEndpoint.recordRecovery(endpoint)) opts.log.event('endpointFlapping', { endpoint: endpoint.id, heldMs: Math.round(endpoint.suspendedUntil - performance.now()) })
       }
-      news.publishAnnouncement(announcement)
+      publisher.publishAnnouncement(announcement)
       if (announcement.state === 'leaving') declineQueue(endpoint, 'unready')
-      else pump(endpoint)
+      else admitQueued(endpoint)
       endpoint.intervalMs = Math.max(contracts.ANNOUNCE_INTERVAL_MS, countOwned() * contracts.ANNOUNCE_BYTES / contracts.ANNOUNCE_BUDGET_BYTES_PER_SECOND * 1000)
       return endpoint.intervalMs
     },
-    recordChatLocation: places.record,
+    recordChatLocation: locations.record,
     owns,
-    admitQueued: pump,
+    admitQueued,
     removeIdle () {
       for (const [id, endpoint] of endpoints) {
         const isIdle = endpoint.sessions.size === 0 && endpoint.queue.size() === 0
-        const isElsewhere = endpoint.announcement === undefined || (endpoint.isMarkedGone && table.get(id) === undefined)
-        if (!isIdle || !isElsewhere) continue
+        const isObsolete = endpoint.announcement === undefined || (endpoint.isMarkedGone && table.get(id) === undefined)
+        if (!isIdle || !isObsolete) continue
         endpoint.client.close()
         endpoints.delete(id)
       }
@@ -295,6 +293,6 @@
     declineQueue,
     toStatus: loads.toStatus,
     loads: loads.toPoolLoads,
-    inFlight: () => bySession.size
+    inFlight: () => sessionsByAttempt.size
   }
 }
--- a/packages/router/src/ownerTasks.ts
+++ b/packages/router/src/ownerTasks.ts
@@ -1,4 +1,4 @@
-/** What an owner does at intervals: looks for silent endpoints, hands endpoints over after a new view, sends orders. */
+/** Background tasks of an owner: detects unresponsive endpoints, hands endpoints over after a view change, sends orders. */
 import * as undici from 'undici'
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
@@ -7,7 +7,7 @@
 import * as ownedEndpoint from './ownedEndpoint.js'
 import type * as owners from './owner.js'
 
-/** What the tasks work with. */
+/** Dependencies of {@link startOwnerTasks}. */
 export interface OwnerTaskOptions {
   owner: owners.Owner
   member: membership.Membership
@@ -18,23 +18,22 @@
   sendTo (peer: contracts.Instance, event: contracts.PeerEvent): void
 }
 
-const SWEEP_MS = 500
-/** Endpoints of a dead owner find the new one with their next announcement. */
-const UNHEARD_MS = 12_000
-const ORDER_CHECK_MS = 700
-const ORDER_AGAIN_MS = 4000
+const SWEEP_INTERVAL_MS = 500
+/** Time allowed for an endpoint to announce itself to a new owner. */
+const UNANNOUNCED_TIMEOUT_MS = 12_000
+const ORDER_CHECK_INTERVAL_MS = 700
+const ORDER_RETRY_MS = 4000
 const ORDER_TIMEOUT_MS = 1500
 
 /**
- * Starts the tasks.
- * @param opts what they work with
- * @returns the stop
+ * Starts the background tasks.
+ * @returns stops the tasks
  */
 export function startOwnerTasks (opts: OwnerTaskOptions): () => void {
-  const heardOf = new Map<string, number>()
+  const unannouncedSince = new Map<string, number>()
   const stops = [
-    links.startPeriodic(SWEEP_MS, () => { sweep(opts, heardOf) }, () => {}),
-    links.startPeriodic(ORDER_CHECK_MS, async () => { await sendOrders(opts) }, () => {})
+    links.startPeriodic(SWEEP_INTERVAL_MS, () => { sweep(opts, unannouncedSince) }, () => {}),
+    links.startPeriodic(ORDER_CHECK_INTERVAL_MS, async () => { await sendOrders(opts) }, () => {})
   ]
   const views = opts.member.viewNumbers.observe(() => { handOver(opts) })
   const pools = opts.member.poolLoadUpdates.observe(() => { for (const endpoint of opts.owner.endpoints.values()) opts.owner.admitQueued(endpoint) })
@@ -43,36 +42,36 @@
   return () => { for (const stop of stops) stop() }
 }
 
-/** Marks endpoints that fell silent, those among them that never announced themselves to this owner. */
-function sweep (opts: OwnerTaskOptions, heardOf: Map<string, number>): void {
+/** Marks unresponsive endpoints as gone, including those that never announced themselves to this owner. */
+function sweep (opts: OwnerTaskOptions, unannouncedSince: Map<string, number>): void {
   const now = performance.now()
   if (!opts.member.isServing()) {
-    heardOf.clear()
+    unannouncedSince.clear()
     return
   }
   for (const endpoint of opts.owner.endpoints.values()) {
-    const isSilent = endpoint.announcement !== undefined && ownedEndpoint.isUnresponsive(endpoint)
-    if (isSilent && !endpoint.isMarkedGone) opts.owner.markGone(endpoint)
+    const isUnresponsive = endpoint.announcement !== undefined && ownedEndpoint.isUnresponsive(endpoint)
+    if (isUnresponsive && !endpoint.isMarkedGone) opts.owner.markGone(endpoint)
     opts.owner.admitQueued(endpoint)
   }
   opts.owner.removeIdle()
   for (const entry of opts.table.all()) {
-    const isUnheard = entry.state !== 'gone' && opts.owner.owns(entry) && opts.owner.endpoints.get(entry.id)?.announcement === undefined
-    if (!isUnheard) {
-      heardOf.delete(entry.id)
+    const isUnannounced = entry.state !== 'gone' && opts.owner.owns(entry) && opts.owner.endpoints.get(entry.id)?.announcement === undefined
+    if (!isUnannounced) {
+      unannouncedSince.delete(entry.id)
       continue
     }
-    const since = heardOf.get(entry.id) ?? now
-    heardOf.set(entry.id, since)
-    if (now - since < UNHEARD_MS) continue
+    const since = unannouncedSince.get(entry.id) ?? now
+    unannouncedSince.set(entry.id, since)
+    if (now - since < UNANNOUNCED_TIMEOUT_MS) continue
     opts.log.event('endpointGone', { endpoint: entry.id })
     opts.gossip.merge({ ...entry, state: 'gone' })
   }
 }
 
 /**
- * After a new view, gives endpoints that another instance owns now to that instance, with the count that still runs here.
- * What runs goes on; what waits is sent back to be routed anew.
+ * Hands over endpoints that another instance owns after a view change, with the number of requests still in flight here.
+ * Requests in flight continue; queued requests are declined, so that their entry instances place them again.
  */
 function handOver (opts: OwnerTaskOptions): void {
   const self = opts.member.self()
@@ -80,11 +79,11 @@
     const entry = opts.table.get(endpoint.id)
     const { announcement } = endpoint
     if (entry === undefined || announcement === undefined) continue
-    const next = opts.member.views.ownerOf(entry)
-    if (next === undefined || next.id === self.id) continue
+    const newOwner = opts.member.views.ownerOf(entry)
+    if (newOwner === undefined || newOwner.id === self.id) continue
     endpoint.announcement = undefined
     opts.owner.declineQueue(endpoint, 'not_owner')
-    opts.sendTo(next, { t: 'handover', announcement, inFlight: endpoint.sessions.size + endpoint.inheritedLoad })
+    opts.sendTo(newOwner, { t: 'handover', announcement, inFlight: endpoint.sessions.size + endpoint.inheritedLoad })
   }
 }
 
@@ -99,33 +98,28 @@
   const { announcement } = endpoint
   const entry = opts.table.get(endpoint.id)
   if (announcement?.state !== 'ready' || entry === undefined || !opts.owner.owns(entry)) return false
-  const wanted = toDesiredModels(doc, announcement)
-  if (wanted === undefined || isSame(wanted, announcement.carries)) return false
-  const isNew = opts.member.documentVersion() > endpoint.highestFence
-  return isNew || performance.now() - endpoint.orderedAt > ORDER_AGAIN_MS
+  const desired = toDesiredModels(doc, announcement)
+  if (desired === undefined || isSame(desired, announcement.carries)) return false
+  const isNewVersion = opts.member.documentVersion() > endpoint.highestFence
+  return isNewVersion || performance.now() - endpoint.orderedAt > ORDER_RETRY_MS
 }
 
-/**
- * Finds what an engine should carry.
- * @param doc the document
- * @param announcement the engine
- * @returns the wanted models, or undefined where the document says nothing
- */
+/** Returns the models that the configuration document assigns to an engine, or undefined if it has no entry for it. */
 export function toDesiredModels (doc: contracts.Document, announcement: contracts.Announcement): contracts.ServedModel[] | undefined {
   const entries = Object.values(doc.carriages).filter(item => item.service === announcement.service)
   const entry = entries.find(item => item.engine === announcement.endpoint) ?? entries.find(item => item.engine === '*')
   return entry?.models.map(id => ({ model: id, adapter: doc.models[id].adapter, version: doc.models[id].version }))
 }
 
-function isSame (wanted: contracts.ServedModel[], carried: contracts.ServedModel[]): boolean {
+function isSame (desired: contracts.ServedModel[], carried: contracts.ServedModel[]): boolean {
   const toText = (list: contracts.ServedModel[]): string => list.map(item => `${item.model} ${item.adapter} ${item.version}`).sort().join('\n')
-  return toText(wanted) === toText(carried)
+  return toText(desired) === toText(carried)
 }
 
 /**
- * Orders the wanted end state. The configuration version is the fencing number. Guards against old orders at engines that
- * ignore that number: only the owner sends orders, it holds a lease when it does, its document never reverts, and it
- * refuses any order below the highest that it sent or that the engine said it obeyed.
+ * Sends an engine its desired models, with the document version as fencing number. Engines that do not check the number
+ * are protected too: only an owner with a lease sends orders, its document version never decreases, and it sends no order
+ * below the highest fencing number that it sent or that the engine announced.
  */
 async function sendOrder (opts: OwnerTaskOptions, doc: contracts.Document, endpoint: ownedEndpoint.OwnedEndpoint): Promise<void> {
   const { announcement } = endpoint
@@ -133,7 +127,7 @@
   if (announcement === undefined || fence < endpoint.highestFence || !opts.member.isServing()) return
   const carries = toDesiredModels(doc, announcement)
   if (carries === undefined) return
-  opts.invariants.check('fenceNeverReverts', fence >= endpoint.highestFence, () => `order ${fence} after ${endpoint.highestFence} to ${endpoint.id}`)
+  opts.invariants.check('fenceNeverReverts', fence >= endpoint.highestFence, () => `order with fencing number ${fence} for ${endpoint.id}, which already has ${endpoint.highestFence}`)
   endpoint.highestFence = fence
   endpoint.orderedAt = performance.now()
   try {
@@ -146,6 +140,6 @@
     await res.body.dump()
     opts.log.event(res.statusCode < 300 ? 'orderSent' : 'orderRefused', { endpoint: endpoint.id, fence, status: res.statusCode })
   } catch {
-    // The order names the end state, so the next turn sends it again.
+    // Orders are idempotent, so the next run sends this one again.
   }
 }
--- a/packages/router/src/poolLoads.ts
+++ b/packages/router/src/poolLoads.ts
@@ -1,45 +1,41 @@
-/** The loads and caps of the endpoints that an instance owns: its own counts are exact, those of others as they reported. */
+/** Loads and caps of owned endpoints, from exact own counts and the last loads reported by other instances. */
 import * as contracts from '@kingcupdeck/contracts'
 import * as membership from '@kingcupdeck/membership'
 import * as routing from '@kingcupdeck/routing'
 import * as ownedEndpoint from './ownedEndpoint.js'
 
-/** The cap of an endpoint now, with what it was worked out from. */
+/** Load cap of an endpoint, with the total load of its pool and the age of the other instances' loads. */
 export interface Cap { cap: number, total: number, ageMs: number }
 
-/** The loads of owned endpoints. */
+/** Loads and caps of owned endpoints. */
 export interface PoolLoads {
-  /** @returns how many requests an endpoint may have in flight now */
+  /** Returns how many requests an endpoint may have in flight; the endpoint must have an announcement. */
   toCap (endpoint: ownedEndpoint.OwnedEndpoint): Cap
-  /** @returns what this instance has in flight, per pool */
+  /** Returns the requests that this instance has in flight, per pool. */
   toPoolLoads (): contracts.PoolLoad[]
-  /** @returns the endpoints that announce themselves here */
+  /** Returns the endpoints that announce themselves to this instance. */
   toStatus (): contracts.EndpointStatus[]
 }
 
-/** What loads are worked out from. */
+/** Dependencies of {@link createPoolLoads}. */
 export interface PoolLoadsOptions {
   endpoints: ReadonlyMap<string, ownedEndpoint.OwnedEndpoint>
   member: membership.Membership
   table: membership.EndpointTable
-  /** Whether the cap is in force; the baselines of the bench run without it. */
+  /** Whether the load cap is enforced; only the `owner` policy does. */
   isCapped: boolean
 }
 
-const DEFAULT_FACTOR = 1.25
+const DEFAULT_LOAD_FACTOR = 1.25
 
-/**
- * Creates the loads.
- * @param opts the endpoints and what others reported
- * @returns the loads
- */
+/** Creates the view of loads and caps. */
 export function createPoolLoads (opts: PoolLoadsOptions): PoolLoads {
   const { endpoints, member, table } = opts
   const toPool = (item: ownedEndpoint.OwnedEndpoint): string | undefined => item.announcement?.service ?? table.get(item.id)?.service
 
-  const sumOf = (pool: string): contracts.PoolLoad => {
+  const sumLoad = (pool: string): contracts.PoolLoad => {
     const sum: contracts.PoolLoad = { pool, load: 0, endpoints: 0, weight: 0 }
-    for (const item of endpoints.values()) if (toPool(item) === pool) add(sum, item)
+    for (const item of endpoints.values()) if (toPool(item) === pool) addEndpoint(sum, item)
     return sum
   }
 
@@ -47,8 +43,8 @@
     const announcement = endpoint.announcement as contracts.Announcement
     if (!opts.isCapped) return { cap: Infinity, total: 0, ageMs: 0 }
     const others = member.remoteLoad(announcement.service)
-    const own = sumOf(announcement.service)
-    const factor = member.document()?.services[announcement.service]?.loadFactor ?? DEFAULT_FACTOR
+    const own = sumLoad(announcement.service)
+    const factor = member.document()?.services[announcement.service]?.loadFactor ?? DEFAULT_LOAD_FACTOR
     const total = (others?.load ?? 0) + own.load
     const cap = routing.toLoadCap({ factor, total, weightSum: (others?.weight ?? 0) + own.weight, weight: announcement.weight, slots: announcement.slots })
     return { cap, total, ageMs: others === undefined ? Infinity : performance.now() - others.receivedAt }
@@ -58,7 +54,7 @@
     toCap,
     toPoolLoads () {
       const pools = new Set([...endpoints.values()].map(toPool).filter(pool => pool !== undefined))
-      return [...pools].map(sumOf)
+      return [...pools].map(sumLoad)
     },
     toStatus: () => [...endpoints.values()].flatMap(item => {
       const { announcement } = item
@@ -70,8 +66,8 @@
   }
 }
 
-function add (sum: contracts.PoolLoad, item: ownedEndpoint.OwnedEndpoint): void {
-  // Without the foreign load: the earlier owner reports that itself.
+function addEndpoint (sum: contracts.PoolLoad, item: ownedEndpoint.OwnedEndpoint): void {
+  // Inherited load is left out, because the previous owner reports it.
   sum.load += item.sessions.size
   if (!ownedEndpoint.isReady(item)) return
   sum.endpoints++
