--- a/packages/router/src/engineStream.ts
+++ b/packages/router/src/engineStream.ts
@@ -1,16 +1,15 @@
 /**
- * Runs a chat completion on an engine and passes its stream on. Guards, each with the failure it is for:
- * - the attempt id in the response and in each event: an answer that belongs to another request;
- * - the numbers of the events: an answer with a part missing or sent twice;
- * - the end mark: an answer that was cut, which a closed connection alone would pass off as whole;
- * - the finish before the end mark: an answer whose last events are missing although its end mark came;
- * - the watch on silence: a connection that something between the two ends has forgotten.
+ * Runs a chat completion on an engine and forwards its event stream. Checks against corrupt answers:
+ * - attempt id in the response and in each event: detects an answer to another request;
+ * - event numbers: detects missing and repeated events;
+ * - `[DONE]`, preceded by the final event: detects a truncated answer;
+ * - idle timeout: detects a connection that was dropped without being closed.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
 import type * as session from './session.js'
 
-/** How a stream from an engine ended. */
+/** Result of an engine's stream. */
 export type StreamEnd =
   | { kind: 'whole', promptTokens: number, cachedTokens: number, tokens: number }
   | { kind: 'silent' }
@@ -19,44 +18,43 @@
   | { kind: 'error', status: number, detail: string }
   | { kind: 'aborted' }
 
-/** What running a stream needs. */
+/** Inputs of {@link runStream}. */
 export interface StreamOptions {
   lease: links.EndpointConnection
   session: session.Session
-  /** Header of the resume: the last event that arrived, as the event-stream standard has it. */
+  /** Value of the `Last-Event-ID` header, from which the engine resumes. */
   lastEventId: string | undefined
 }
 
 const MAX_ERROR_BYTES = 2048
 
 /**
- * Sends the request over a connection and passes events on until the stream ends one way or another.
- * @param opts the connection and the attempt
- * @returns how it ended; the connection is given back only after a whole answer
+ * Sends the request over a connection and forwards events until the stream ends.
+ * @returns how the stream ended; the connection is reused only after a complete answer
  */
 export async function runStream (opts: StreamOptions): Promise<StreamEnd> {
   const { lease } = opts
-  const watch = createSilenceWatch(opts.session.abort.signal)
-  let end: StreamEnd = { kind: 'cut', detail: 'connection ended' }
+  const idleTimer = createIdleTimer(opts.session.abort.signal)
+  let end: StreamEnd = { kind: 'cut', detail: 'the connection closed' }
   try {
-    // Raced, because a request that waits inside the client for its connection does not hear of the abort.
-    end = await Promise.race([requestAndRead(opts, watch), watch.failed])
+    // Raced, because the client does not abort a request that is still waiting for its connection.
+    end = await Promise.race([requestAndRead(opts, idleTimer), idleTimer.expired])
   } catch (err) {
     if (opts.session.abort.signal.aborted) end = { kind: 'aborted' }
-    else if (watch.isSilent()) end = { kind: 'silent' }
+    else if (idleTimer.isExpired()) end = { kind: 'silent' }
     else end = { kind: 'cut', detail: err instanceof Error ? err.message : String(err) }
   } finally {
-    watch.stop()
+    idleTimer.stop()
     if (end.kind === 'whole') lease.release()
     else lease.destroy()
   }
   return end
 }
 
-async function requestAndRead (opts: StreamOptions, watch: SilenceWatch): Promise<StreamEnd> {
+async function requestAndRead (opts: StreamOptions, idleTimer: IdleTimer): Promise<StreamEnd> {
   const { msg } = opts.session
   const { work } = msg
-  if (work.kind !== 'chat') throw new Error('not a chat')
+  if (work.kind !== 'chat') throw new Error(`expected work of kind chat, got ${work.kind}`)
   const headers: Record<string, string> = {
     'content-type': 'application/json',
     accept: 'text/event-stream',
@@ -66,25 +64,25 @@
     [contracts.HEADERS.priority]: String(msg.rank)
   }
   if (opts.lastEventId !== undefined) headers['last-event-id'] = opts.lastEventId
-  const res = await opts.lease.client.request({ path: '/v1/chat/completions', method: 'POST', headers, body: Buffer.from(msg.body), signal: watch.signal })
-  watch.touch()
+  const res = await opts.lease.client.request({ path: '/v1/chat/completions', method: 'POST', headers, body: Buffer.from(msg.body), signal: idleTimer.signal })
+  idleTimer.reset()
   if (res.statusCode !== 200) {
     const detail = (await res.body.text()).slice(0, MAX_ERROR_BYTES)
     return { kind: 'error', status: res.statusCode, detail }
   }
   const echoed = res.headers[contracts.HEADERS.attempt]
-  if (echoed !== msg.attempt) return { kind: 'crossed', detail: `asked as ${msg.attempt}, answered as ${String(echoed)}` }
-  return await readEvents(opts, watch, res.body)
+  if (echoed !== msg.attempt) return { kind: 'crossed', detail: `response has attempt id ${String(echoed)}, expected ${msg.attempt}` }
+  return await readEvents(opts, idleTimer, res.body)
 }
 
-async function readEvents (opts: StreamOptions, watch: SilenceWatch, body: AsyncIterable<Uint8Array>): Promise<StreamEnd> {
+async function readEvents (opts: StreamOptions, idleTimer: IdleTimer, body: AsyncIterable<Uint8Array>): Promise<StreamEnd> {
   const { session } = opts
-  let isWhole = false
+  let hasTerminator = false
   const decoder = new TextDecoder()
   let text = ''
   let usage: Usage = { promptTokens: 0, cachedTokens: 0, tokens: 0 }
   for await (const bytes of body) {
-    watch.touch()
+    idleTimer.reset()
     text += decoder.decode(bytes, { stream: true })
     let at = text.indexOf('\n\n')
     while (at >= 0) {
@@ -92,11 +90,11 @@
       text = text.slice(at + 2)
       at = text.indexOf('\n\n')
       if (event === undefined) continue
-      if (event.data === '[DONE]') isWhole = true
-      if (isWhole) continue
-      if (isFinish(event.data)) session.isFinished = true
-      const problem = checkEvent(session, event)
-      if (problem !== undefined) return problem
+      if (event.data === '[DONE]') hasTerminator = true
+      if (hasTerminator) continue
+      if (isFinalEvent(event.data)) session.isFinished = true
+      const invalid = validateEvent(session, event)
+      if (invalid !== undefined) return invalid
       if (event.n < session.nextChunk) continue
       session.nextChunk = event.n + 1
       usage = toUsage(event.data) ?? usage
@@ -104,15 +102,15 @@
     }
     await session.drained()
   }
-  // Read to its end also after the end mark: a connection with a rest in it cannot be used again.
-  if (isWhole && session.isFinished) return { kind: 'whole', ...usage }
-  return { kind: 'cut', detail: isWhole ? 'the end mark came before the finish' : 'the stream ended without its end mark' }
+  // The body is read to its end even after [DONE], so that the connection can be reused.
+  if (hasTerminator && session.isFinished) return { kind: 'whole', ...usage }
+  return { kind: 'cut', detail: hasTerminator ? 'the stream ended with [DONE] but without a final event' : 'the stream ended without [DONE]' }
 }
 
 interface StreamEvent { attempt: string, n: number, data: string }
 interface Usage { promptTokens: number, cachedTokens: number, tokens: number }
 
-/** Hot path: one call for each token of an answer. */
+/** Hot path: called once per token. */
 function parseEvent (block: string): StreamEvent | undefined {
   let id = ''
   let data: string | undefined
@@ -125,14 +123,14 @@
   return { attempt: id.slice(0, dot), n: Number(id.slice(dot + 1)), data }
 }
 
-function checkEvent (session: session.Session, event: StreamEvent): StreamEnd | undefined {
-  if (event.attempt !== session.msg.attempt) return { kind: 'crossed', detail: `event of ${event.attempt} in ${session.msg.attempt}` }
-  if (!(event.n <= session.nextChunk)) return { kind: 'cut', detail: `event ${event.n} where ${session.nextChunk} was due` }
+function validateEvent (session: session.Session, event: StreamEvent): StreamEnd | undefined {
+  if (event.attempt !== session.msg.attempt) return { kind: 'crossed', detail: `received event of attempt ${event.attempt}, expected ${session.msg.attempt}` }
+  if (!(event.n <= session.nextChunk)) return { kind: 'cut', detail: `received event ${event.n}, expected ${session.nextChunk}` }
   return undefined
 }
 
-/** The last events of an answer: the one that gives the reason of its finish, and the one with the token counts. */
-function isFinish (data: string): boolean {
+/** Whether an event has the finish reason or the token counts, which only the last events of an answer do. */
+function isFinalEvent (data: string): boolean {
   return data.includes('"finish_reason":"') || data.includes('"usage":{')
 }
 
@@ -143,37 +141,37 @@
   return { promptTokens: usage.prompt_tokens ?? 0, cachedTokens: usage.prompt_tokens_details?.cached_tokens ?? 0, tokens: usage.completion_tokens ?? 0 }
 }
 
-interface SilenceWatch {
+interface IdleTimer {
   signal: AbortSignal
-  /** Rejects when the stream fell silent or the attempt was given up. */
-  failed: Promise<never>
-  touch (): void
-  isSilent (): boolean
+  /** Rejects when the stream is idle for too long or the attempt is aborted. */
+  expired: Promise<never>
+  reset (): void
+  isExpired (): boolean
   stop (): void
 }
 
-function createSilenceWatch (outer: AbortSignal): SilenceWatch {
-  const inner = new AbortController()
-  let isSilent = false
-  let touchedAt = performance.now()
+function createIdleTimer (abortSignal: AbortSignal): IdleTimer {
+  const controller = new AbortController()
+  let isExpired = false
+  let lastActivityAt = performance.now()
   const timer = setInterval(() => {
-    if (performance.now() - touchedAt < contracts.STREAM_IDLE_TIMEOUT_MS) return
-    isSilent = true
-    inner.abort()
+    if (performance.now() - lastActivityAt < contracts.STREAM_IDLE_TIMEOUT_MS) return
+    isExpired = true
+    controller.abort()
   }, contracts.STREAM_IDLE_TIMEOUT_MS / 5)
-  const onAbort = (): void => { inner.abort() }
-  if (outer.aborted) inner.abort()
-  outer.addEventListener('abort', onAbort, { once: true })
-  const failed = new Promise<never>((resolve, reject) => { inner.signal.addEventListener('abort', () => { reject(new Error('given up')) }, { once: true }) })
-  failed.catch(() => {})
+  const onAbort = (): void => { controller.abort() }
+  if (abortSignal.aborted) controller.abort()
+  abortSignal.addEventListener('abort', onAbort, { once: true })
+  const expired = new Promise<never>((resolve, reject) => { controller.signal.addEventListener('abort', () => { reject(new Error('stream aborted')) }, { once: true }) })
+  expired.catch(() => {})
   return {
-    failed,
-    signal: inner.signal,
-    touch: () => { touchedAt = performance.now() },
-    isSilent: () => isSilent,
+    expired,
+    signal: controller.signal,
+    reset: () => { lastActivityAt = performance.now() },
+    isExpired: () => isExpired,
     stop: () => {
       clearInterval(timer)
-      outer.removeEventListener('abort', onAbort)
+      abortSignal.removeEventListener('abort', onAbort)
     }
   }
 }
--- a/packages/router/src/execution.ts
+++ b/packages/router/src/execution.ts
@@ -1,4 +1,4 @@
-/** Runs an admitted attempt on its endpoint to the end: connection, last checks, stream or call, and what to do when it breaks. */
+/** Runs an admitted attempt on its endpoint: connects, rechecks admission, streams or calls, and handles failures. */
 import * as undici from 'undici'
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
@@ -10,7 +10,7 @@
 import * as plainCall from './plainCall.js'
 import type * as sessions from './session.js'
 
-/** What running an attempt needs. */
+/** Inputs of {@link runSession}. */
 export interface ExecutionOptions {
   endpoint: ownedEndpoint.OwnedEndpoint
   session: sessions.Session
@@ -21,27 +21,23 @@
   metrics: telemetry.RouterMetrics
   invariants: telemetry.Invariants
   isKvImportEnabled: boolean
-  /** @returns why the endpoint takes no work now, or undefined if it does */
+  /** Returns why the endpoint must not receive the attempt now, or undefined if it may. */
   findDeclineReason (): contracts.DeclineReason | undefined
   markGone (): void
   broadcastSuspects (fingerprints: readonly string[]): void
 }
 
-/** How an attempt ended for its owner; all but `declined` has been told to the entry instance. */
+/** Result of an attempt at its owner; `declined` still has to be reported to the entry instance. */
 export type SessionEnd = { kind: 'ended' } | { kind: 'declined', reason: contracts.DeclineReason }
 
-/** A stream that falls silent or is cut is taken up again this often on the same engine. */
+/** Maximum number of times a broken stream is resumed on the same engine. */
 const MAX_RESUMES = 3
-const IMPORT_MS = 1500
+const IMPORT_TIMEOUT_MS = 1500
 const SERVER_ERROR = 500
-const HEALTH_MS = 1000
-const DEFAULT_CALL_MS = 5000
+const HEALTH_TIMEOUT_MS = 1000
+const DEFAULT_CALL_TIMEOUT_MS = 5000
 
-/**
- * Runs an admitted attempt.
- * @param opts the attempt, its endpoint and the checks
- * @returns how it ended
- */
+/** Runs an admitted attempt to its end. */
 export async function runSession (opts: ExecutionOptions): Promise<SessionEnd> {
   const { session } = opts
   if (session.msg.work.kind === 'plain') return await runPlain(opts)
@@ -53,30 +49,30 @@
   const { session, endpoint } = opts
   for (let resumes = 0; resumes <= MAX_RESUMES; resumes++) {
     const lease = await connect(opts, resumes > 0)
-    if (lease === undefined) return endLost(opts, await judge(opts), 'the endpoint cannot be connected to')
-    const obstacle = checkDispatch(opts)
-    if (obstacle !== undefined) {
+    if (lease === undefined) return reportLost(opts, await diagnose(opts), 'connecting to the endpoint failed')
+    const declined = checkDispatch(opts)
+    if (declined !== undefined) {
       lease.release()
-      return obstacle
+      return declined
     }
-    // One event is asked for again: it may be the finish, which this owner must have seen itself.
-    const lastEvent = session.nextChunk > 0 || resumes > 0 ? `${session.msg.attempt}.${Math.max(-1, session.nextChunk - 2)}` : undefined
-    const end = await engineStream.runStream({ lease, session, lastEventId: lastEvent })
+    // Requests one event again: it may be the final event, which this owner must see itself.
+    const lastEventId = session.nextChunk > 0 || resumes > 0 ? `${session.msg.attempt}.${Math.max(-1, session.nextChunk - 2)}` : undefined
+    const end = await engineStream.runStream({ lease, session, lastEventId })
     switch (end.kind) {
       case 'whole':
         session.emit({ t: 'done', attempt: session.msg.attempt, count: session.nextChunk, promptTokens: end.promptTokens, cachedTokens: end.cachedTokens, tokens: end.tokens })
-        noteAttempt(opts, 'whole')
+        countAttempt(opts, 'whole')
         return { kind: 'ended' }
       case 'aborted':
         void cancelAtEngine(opts)
-        noteAttempt(opts, 'aborted')
+        countAttempt(opts, 'aborted')
         return { kind: 'ended' }
       case 'error':
-        // An engine that was started anew since its last announcement has lost its models: it must not go on refusing
-        // quickly and look idle by that.
-        if (end.status >= SERVER_ERROR) await judge(opts)
+        // An engine that restarted since its last announcement has lost its models. It would fail requests fast, appear
+        // idle and attract more of them, so it is probed, which marks it as gone if it restarted.
+        if (end.status >= SERVER_ERROR) await diagnose(opts)
         session.emit({ t: 'lost', attempt: session.msg.attempt, detail: end.detail, status: end.status })
-        noteAttempt(opts, 'error')
+        countAttempt(opts, 'error')
         return { kind: 'ended' }
       case 'silent':
         opts.log.event('streamSilent', { endpoint: endpoint.id, request: session.msg.request })
@@ -86,32 +82,32 @@
       case 'crossed':
         break
     }
-    noteAttempt(opts, end.kind)
+    countAttempt(opts, end.kind)
     session.isBroken = true
-    const verdict = await judge(opts)
-    if (verdict !== 'alive') return endLost(opts, verdict, `stream ${end.kind}`)
+    const probeResult = await diagnose(opts)
+    if (probeResult !== 'alive') return reportLost(opts, probeResult, `stream ${end.kind}`)
     session.isBroken = false
   }
-  return endLost(opts, 'alive', `stream broke ${MAX_RESUMES + 1} times`)
+  return reportLost(opts, 'alive', `stream failed ${MAX_RESUMES + 1} times`)
 }
 
 async function runPlain (opts: ExecutionOptions): Promise<SessionEnd> {
   const { session, endpoint, member } = opts
   const { work } = session.msg
-  if (work.kind !== 'plain') throw new Error('not a plain call')
+  if (work.kind !== 'plain') throw new Error(`expected work of kind plain, got ${work.kind}`)
   const service = member.document()?.services[session.msg.service]
   const spec = service?.kind === 'plain' ? service.calls[work.call] : undefined
-  const timeoutMs = spec === undefined ? DEFAULT_CALL_MS : spec.timeoutSeconds * 1000
+  const timeoutMs = spec === undefined ? DEFAULT_CALL_TIMEOUT_MS : spec.timeoutSeconds * 1000
   for (let tries = 0; ; tries++) {
     const lease = await connect(opts, !work.idempotent || tries > 0)
-    if (lease === undefined) return endLost(opts, await judge(opts), 'the endpoint cannot be connected to')
-    const obstacle = checkDispatch(opts)
-    if (obstacle !== undefined) {
+    if (lease === undefined) return reportLost(opts, await diagnose(opts), 'connecting to the endpoint failed')
+    const declined = checkDispatch(opts)
+    if (declined !== undefined) {
       lease.release()
-      return obstacle
+      return declined
     }
     const end = await plainCall.runPlainCall(lease, session, timeoutMs)
-    noteAttempt(opts, end.kind)
+    countAttempt(opts, end.kind)
     if (end.kind === 'answer') {
       session.emit({ t: 'answer', attempt: session.msg.attempt, status: end.status, contentType: end.contentType, body: end.body })
       return { kind: 'ended' }
@@ -119,9 +115,9 @@
     if (session.abort.signal.aborted) return { kind: 'ended' }
     if (end.kind === 'silent') endpoint.client.closeIdle()
     session.isBroken = true
-    const verdict = await judge(opts)
+    const probeResult = await diagnose(opts)
     session.isBroken = false
-    if (!work.idempotent || verdict !== 'alive' || tries > 0) return endLost(opts, verdict, end.kind === 'cut' ? end.detail : 'no answer in time')
+    if (!work.idempotent || probeResult !== 'alive' || tries > 0) return reportLost(opts, probeResult, end.kind === 'cut' ? end.detail : `no answer within ${timeoutMs} ms`)
   }
 }
 
@@ -134,48 +130,48 @@
 }
 
 /**
- * The last look before the first byte goes out. Guards against a process that was frozen and thaws: it may have lost its
- * lease, the endpoint may have a new owner or be leaving. Nothing waits between this check and the write.
+ * Rechecks admission before the first byte is sent. Guards against a process that was suspended: meanwhile its lease may
+ * have expired, or the endpoint may have a new owner or be leaving. Nothing is awaited between this check and the write.
  */
 function checkDispatch (opts: ExecutionOptions): SessionEnd | undefined {
   const { session, invariants, endpoint, member } = opts
   if (session.abort.signal.aborted) return session.reached ? { kind: 'ended' } : { kind: 'declined', reason: 'void' }
-  const obstacle = session.reached ? undefined : opts.findDeclineReason()
-  if (obstacle !== undefined) return { kind: 'declined', reason: obstacle }
+  const reason = session.reached ? undefined : opts.findDeclineReason()
+  if (reason !== undefined) return { kind: 'declined', reason }
   if (session.reached) return undefined
-  invariants.check('leaseBeforeDispatch', member.leaseRemainingMs() > 0, () => `${session.msg.attempt} on ${endpoint.id} without a lease`)
-  invariants.check('noWorkForLeaving', endpoint.announcement?.state === 'ready', () => `${session.msg.attempt} on ${endpoint.id}, which is leaving`)
+  invariants.check('leaseBeforeDispatch', member.leaseRemainingMs() > 0, () => `attempt ${session.msg.attempt} dispatched to ${endpoint.id} without a lease`)
+  invariants.check('noWorkForLeaving', endpoint.announcement?.state === 'ready', () => `attempt ${session.msg.attempt} dispatched to ${endpoint.id}, which is leaving`)
   session.state = 'dispatched'
   session.reached = true
   return undefined
 }
 
-function endLost (opts: ExecutionOptions, verdict: ownedEndpoint.ProbeResult, detail: string): SessionEnd {
+function reportLost (opts: ExecutionOptions, probeResult: ownedEndpoint.ProbeResult, detail: string): SessionEnd {
   const { session } = opts
   if (!session.reached) return { kind: 'declined', reason: 'connect_refused' }
-  session.emit({ t: 'lost', attempt: session.msg.attempt, detail: `${detail}; endpoint ${verdict}`, death: verdict === 'died' ? toDeath(opts.endpoint) : undefined })
+  session.emit({ t: 'lost', attempt: session.msg.attempt, detail: `${detail}; endpoint ${probeResult}`, death: probeResult === 'died' ? toDeath(opts.endpoint) : undefined })
   return { kind: 'ended' }
 }
 
-/** Finds out, once for all attempts that broke together, whether the endpoint died. */
-async function judge (opts: ExecutionOptions): Promise<ownedEndpoint.ProbeResult> {
+/** Probes whether the endpoint died; attempts that fail at the same time share one probe. */
+async function diagnose (opts: ExecutionOptions): Promise<ownedEndpoint.ProbeResult> {
   const { endpoint } = opts
-  endpoint.pendingProbe ??= probe(opts).then(verdict => {
+  endpoint.pendingProbe ??= probeEndpoint(opts).then(probeResult => {
     endpoint.pendingProbe = undefined
-    return verdict
+    return probeResult
   })
   return await endpoint.pendingProbe
 }
 
-async function probe (opts: ExecutionOptions): Promise<ownedEndpoint.ProbeResult> {
+async function probeEndpoint (opts: ExecutionOptions): Promise<ownedEndpoint.ProbeResult> {
   const { endpoint, suspects, log } = opts
   const boot = endpoint.announcement?.boot
-  const verdict = await askHealth(endpoint.address, boot)
-  if (verdict === 'alive') return verdict
+  const probeResult = await callHealth(endpoint.address, boot)
+  if (probeResult === 'alive') return probeResult
   opts.markGone()
-  if (verdict !== 'died') return verdict
-  // Everything that broke together is a suspect: the owner cannot tell which request it was, only that it was one of
-  // these. What was sent to a process that was started since has no part in the death.
+  if (probeResult !== 'died') return probeResult
+  // Each request whose connection broke at the crash is a suspect, since the owner cannot determine which one caused it.
+  // Requests sent to a process that started afterwards are not.
   const inFlight = [...endpoint.sessions].filter(session => session.isBroken)
   for (const session of inFlight) {
     suspects.record(session.msg.fingerprint, toDeath(endpoint))
@@ -183,17 +179,17 @@
   }
   log.event('endpointDied', { endpoint: endpoint.id, inFlight: inFlight.length })
   if (inFlight.length > 0) opts.broadcastSuspects(inFlight.map(session => session.msg.fingerprint))
-  return verdict
+  return probeResult
 }
 
-/** Names a death, so that the same one is counted once however many instances hear of it. */
+/** Identifies a crash, so that it is counted once however many instances report it. */
 function toDeath (endpoint: ownedEndpoint.OwnedEndpoint): string {
   return `${endpoint.id}@${endpoint.announcement?.boot ?? 0}`
 }
 
-async function askHealth (address: string, boot: number | undefined): Promise<ownedEndpoint.ProbeResult> {
+async function callHealth (address: string, boot: number | undefined): Promise<ownedEndpoint.ProbeResult> {
   try {
-    const res = await undici.request(`http://${address}/health`, { signal: AbortSignal.timeout(HEALTH_MS), reset: true })
+    const res = await undici.request(`http://${address}/health`, { signal: AbortSignal.timeout(HEALTH_TIMEOUT_MS), reset: true })
     const body = await res.body.json() as { boot?: number }
     return body.boot === undefined || body.boot === boot ? 'alive' : 'died'
   } catch (err) {
@@ -202,7 +198,7 @@
   }
 }
 
-/** Lets the engine fetch the chat's cache from where it last ran; a failure costs a prefill and nothing else. */
+/** Has the engine fetch the chat's KV cache from the endpoint that last served it. After a failure the engine recomputes the prefill. */
 async function importCache (opts: ExecutionOptions): Promise<void> {
   const { session, endpoint, table } = opts
   const { work } = session.msg
@@ -214,7 +210,7 @@
       method: 'POST',
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify({ chat: work.chat, from: source.address }),
-      signal: AbortSignal.any([AbortSignal.timeout(IMPORT_MS), session.abort.signal])
+      signal: AbortSignal.any([AbortSignal.timeout(IMPORT_TIMEOUT_MS), session.abort.signal])
     })
     const body = await res.body.json() as { tokens?: number }
     opts.metrics.imports.inc({ outcome: (body.tokens ?? 0) > 0 ? 'imported' : 'nothing' })
@@ -228,10 +224,10 @@
     method: 'POST',
     headers: { 'content-type': 'application/json' },
     body: JSON.stringify({ attempt: opts.session.msg.attempt }),
-    signal: AbortSignal.timeout(HEALTH_MS)
+    signal: AbortSignal.timeout(HEALTH_TIMEOUT_MS)
   }).then(async res => { await res.body.dump() }).catch(() => {})
 }
 
-function noteAttempt (opts: ExecutionOptions, outcome: string): void {
+function countAttempt (opts: ExecutionOptions, outcome: string): void {
   opts.metrics.attempts.inc({ outcome })
 }
--- a/packages/router/src/plainCall.ts
+++ b/packages/router/src/plainCall.ts
@@ -3,25 +3,23 @@
 import * as links from '@kingcupdeck/links'
 import type * as session from './session.js'
 
-/** How a call ended. */
+/** Result of a call. */
 export type CallEnd =
   | { kind: 'answer', status: number, contentType: string, body: Uint8Array }
   | { kind: 'silent' }
   | { kind: 'cut', detail: string }
 
 /**
- * Sends a call over a connection and reads the whole answer.
- * @param lease the connection
- * @param session the attempt
- * @param timeoutMs after this long without the whole answer the connection counts as silent
- * @returns how it ended; the connection is given back only after a whole answer
+ * Sends a call over a connection and reads the complete answer.
+ * @param timeoutMs time limit for the complete answer; exceeding it ends the call as `silent`
+ * @returns how the call ended; the connection is reused only after a complete answer
  */
 export async function runPlainCall (lease: links.EndpointConnection, session: session.Session, timeoutMs: number): Promise<CallEnd> {
   const { msg } = session
-  if (msg.work.kind !== 'plain') throw new Error('not a plain call')
+  if (msg.work.kind !== 'plain') throw new Error(`expected work of kind plain, got ${msg.work.kind}`)
   const { signal } = session.abort
   let isSilent = false
-  // Destroying the connection ends the call, and costs less than a signal of its own for each call.
+  // Destroying the connection ends the call, and is cheaper than one more abort signal per call.
   const timer = setTimeout(() => {
     isSilent = true
     lease.destroy()
@@ -41,7 +39,7 @@
     const echoed = res.headers[contracts.HEADERS.attempt]
     if (echoed !== undefined && echoed !== msg.attempt) {
       lease.destroy()
-      return { kind: 'cut', detail: `asked as ${msg.attempt}, answered as ${String(echoed)}` }
+      return { kind: 'cut', detail: `response has attempt id ${String(echoed)}, expected ${msg.attempt}` }
     }
     lease.release()
     return { kind: 'answer', status: res.statusCode, contentType: String(res.headers['content-type'] ?? 'application/octet-stream'), body }
--- a/packages/router/src/plainEntry.ts
+++ b/packages/router/src/plainEntry.ts
@@ -1,6 +1,6 @@
 /**
- * The entry of calls to plain services. A call that is not idempotent goes through the ledger: its start is committed
- * before the first byte goes out, its answer before the caller gets it.
+ * Handles calls of plain services. A non-idempotent call goes through the ledger: its start is committed before the first
+ * byte is sent to an endpoint, and its answer before it is returned to the caller.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import type * as auths from './auth.js'
@@ -11,21 +11,18 @@
 import * as placement from './placement.js'
 
 const MAX_ATTEMPTS = 3
-const REPEAT_WAIT_MS = 4000
-const REPEAT_POLL_MS = 250
+const OUTCOME_WAIT_MS = 4000
+const OUTCOME_POLL_MS = 250
+const LEDGER_RETRY_AFTER_MS = 2000
 
-/** A call of a plain service. */
+/** A call of a plain service; `priority` is the one that the document sets, if any. */
 export interface PlainCall { service: string, call: string, isIdempotent: boolean, priority: string | undefined }
 
 interface PlainAnswer { status: number, contentType: string, body: Uint8Array }
 
 /**
  * Serves `/v1/services/{service}/{call}`.
- * @param ctx the entry instance
- * @param exchange the caller's request
- * @param account who calls
- * @param service the service's id
- * @param call the call's id
+ * @throws FailureError if the call is not allowed, cannot be placed or fails
  */
 export async function servePlain (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account, service: string, call: string): Promise<void> {
   const spec = ctx.requireDocument().services[service]
@@ -38,7 +35,7 @@
   const request = toRequest(ctx, exchange, account, plain, body)
   const answer = plain.isIdempotent
     ? await runOnEndpoint(ctx, request)
-    : await runOnce(ctx, exchange, account, plain, request, body)
+    : await runAtMostOnce(ctx, exchange, account, plain, request, body)
   ctx.metrics.requests.inc({ account: ctx.metrics.toAccountLabel(account.id), outcome: 'answered' })
   exchange.res.writeHead(answer.status, { 'content-type': answer.contentType, [contracts.HEADERS.requestId]: exchange.requestId, [contracts.HEADERS.ran]: 'yes' })
   exchange.res.end(answer.body)
@@ -48,7 +45,7 @@
   const { rank, patienceMs } = ctx.toUrgency(exchange, account, plain.priority)
   const idempotencyKey = helpers.toHeader(exchange.req, contracts.HEADERS.idempotencyKey)
   const contentType = helpers.toHeader(exchange.req, 'content-type')
-  // Once its start is recorded, a non-idempotent call goes on without its caller, so that the outcome is known.
+  // A non-idempotent call continues after its caller disconnects, so that its outcome is recorded.
   const signal = plain.isIdempotent ? ctx.watchCaller(exchange) : new AbortController().signal
   return {
     requestId: exchange.requestId,
@@ -71,15 +68,15 @@
   }
 }
 
-/** At most once: see the header of this module. */
-async function runOnce (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account, plain: PlainCall, request: placement.PlacementRequest, body: Buffer): Promise<PlainAnswer> {
+/** Runs a non-idempotent call at most once per idempotency key. */
+async function runAtMostOnce (ctx: context.EntryContext, exchange: helpers.Exchange, account: auths.Account, plain: PlainCall, request: placement.PlacementRequest, body: Buffer): Promise<PlainAnswer> {
   const key = helpers.toHeader(exchange.req, contracts.HEADERS.idempotencyKey)
   if (key === undefined) throw new contracts.FailureError({ kind: 'key_required' })
   const checked = ids.checkIdempotencyKey(key)
   if (checked.kind === 'unusable') throw new contracts.FailureError({ kind: 'key_invalid', detail: checked.detail })
   const entry: ledgerClient.LedgerKey = { account: account.id, key, attempt: ids.createAttemptId() }
   const hash = contracts.sha256(Buffer.concat([Buffer.from(`${plain.service}/${plain.call}\n`), body]))
-  const earlier = await begin(ctx, request, entry, hash)
+  const earlier = await beginInLedger(ctx, request, entry, hash)
   if (earlier !== undefined) return earlier
   let answer: PlainAnswer
   try {
@@ -88,15 +85,15 @@
     if (contracts.toRan(contracts.toFailure(err)) === 'no') await ctx.ledger.abort(entry)
     throw err
   }
-  await finish(ctx, request, entry, answer)
+  await finishInLedger(ctx, request, entry, answer)
   return answer
 }
 
-/** @returns the answer of an earlier attempt, or undefined if this one is the first */
-async function begin (ctx: context.EntryContext, request: placement.PlacementRequest, entry: ledgerClient.LedgerKey, hash: string): Promise<PlainAnswer | undefined> {
-  const deadline = performance.now() + REPEAT_WAIT_MS
+/** Records the start. Returns the answer of an earlier call with the same key, or undefined if this is the first. */
+async function beginInLedger (ctx: context.EntryContext, request: placement.PlacementRequest, entry: ledgerClient.LedgerKey, hash: string): Promise<PlainAnswer | undefined> {
+  const deadline = performance.now() + OUTCOME_WAIT_MS
   while (true) {
-    const state = await askLedger(ctx, entry, hash)
+    const state = await callLedgerBegin(ctx, entry, hash)
     request.trace.record('ledger', state.kind)
     switch (state.kind) {
       case 'begun': return undefined
@@ -105,40 +102,40 @@
         return state.answer
       case 'reused': throw new contracts.FailureError({ kind: 'key_reused' })
       case 'expired': throw new contracts.FailureError({ kind: 'key_expired', retentionHours: state.retentionHours })
-      case 'ahead': throw new contracts.FailureError({ kind: 'key_invalid', detail: 'its time lies in the future' })
+      case 'ahead': throw new contracts.FailureError({ kind: 'key_invalid', detail: 'its timestamp is in the future' })
       case 'started':
         if (performance.now() > deadline) throw new contracts.FailureError({ kind: 'outcome_unknown', startedAt: new Date(state.startedAt).toISOString() })
-        await new Promise(resolve => setTimeout(resolve, REPEAT_POLL_MS))
+        await new Promise(resolve => setTimeout(resolve, OUTCOME_POLL_MS))
     }
   }
 }
 
-async function askLedger (ctx: context.EntryContext, entry: ledgerClient.LedgerKey, hash: string): Promise<contracts.LedgerKeyState> {
+async function callLedgerBegin (ctx: context.EntryContext, entry: ledgerClient.LedgerKey, hash: string): Promise<contracts.LedgerKeyState> {
   try {
     return await ctx.ledger.begin(entry, hash)
   } catch {
-    // Nothing was dispatched. The record may have been made all the same; it is taken back so that a resend can run.
+    // Nothing was dispatched, but the record may have been committed. It is removed so that a resend can run.
     void ctx.ledger.abort(entry).catch(() => {})
-    throw new contracts.FailureError({ kind: 'ledger_unavailable', ran: 'no', retryAfterMs: 2000 })
+    throw new contracts.FailureError({ kind: 'ledger_unavailable', ran: 'no', retryAfterMs: LEDGER_RETRY_AFTER_MS })
   }
 }
 
-async function finish (ctx: context.EntryContext, request: placement.PlacementRequest, entry: ledgerClient.LedgerKey, answer: PlainAnswer): Promise<void> {
+async function finishInLedger (ctx: context.EntryContext, request: placement.PlacementRequest, entry: ledgerClient.LedgerKey, answer: PlainAnswer): Promise<void> {
   const { maxAnswerBytes } = ctx.requireDocument().ledger
   const isRecorded = await ctx.ledger.finish(entry, answer.body.length <= maxAnswerBytes ? answer : null)
-  request.trace.record('ledger', isRecorded ? 'finished' : 'the answer could not be recorded')
+  request.trace.record('ledger', isRecorded ? 'finished' : 'recording the answer failed')
 }
 
 async function runOnEndpoint (ctx: context.EntryContext, request: placement.PlacementRequest, recorded?: ledgerClient.LedgerKey): Promise<PlainAnswer> {
   let isReached = false
   for (let attemptNo = 1; ; attemptNo++) {
-    // Guards against running a call twice: without a committed record a resend could not be told from a new call.
-    ctx.invariants.check('recordBeforeDispatch', request.isIdempotent || recorded !== undefined, () => `${request.requestId} without a record`)
+    // Without a committed record, a resend would run the call a second time.
+    ctx.invariants.check('recordBeforeDispatch', request.isIdempotent || recorded !== undefined, () => `request ${request.requestId} dispatched without a ledger record`)
     const placed = await ctx.placer.place(request)
     if (placed.kind === 'failed') throw new contracts.FailureError(isReached ? { kind: 'endpoint_lost', ran: 'unknown', detail: contracts.describe(placed.failure) } : placed.failure)
     const end = await waitForAnswer(ctx, request, placed).finally(() => { placed.attempt.close() })
     if (end.kind === 'answer') return end.answer
-    request.trace.record('broke', `${placed.endpoint}: ${end.why}`)
+    request.trace.record('broke', `attempt on ${placed.endpoint} failed: ${end.why}`)
     isReached ||= end.ran !== 'no'
     const isAllowed = attemptNo < MAX_ATTEMPTS && (end.ran === 'no' || (request.isIdempotent && ctx.budget.tryWithdraw()))
     if (!isAllowed) throw new contracts.FailureError({ kind: 'endpoint_lost', ran: isReached ? 'unknown' : 'no', detail: end.why })
@@ -153,14 +150,14 @@
     const event = await placed.attempt.next()
     switch (event.t) {
       case 'answer': return { kind: 'answer', answer: { status: event.status, contentType: event.contentType, body: event.body } }
-      case 'declined': return { kind: 'broke', why: event.reason, ran: 'no' }
+      case 'declined': return { kind: 'broke', why: `owner declined: ${event.reason}`, ran: 'no' }
       case 'lost':
         if (event.death !== undefined) {
           ctx.suspects.record(request.fingerprint, event.death)
           request.isSuspect = true
         }
         return { kind: 'broke', why: event.detail, ran: 'unknown' }
-      case 'linkLost': return { kind: 'broke', why: `the link to ${placed.owner.id} was lost`, ran: await ctx.attempts.cancel(placed.owner, placed.attempt.id) }
+      case 'linkLost': return { kind: 'broke', why: `link to owner ${placed.owner.id} closed`, ran: await ctx.attempts.cancel(placed.owner, placed.attempt.id) }
       default: break
     }
   }
