--- a/packages/router/src/addresses.ts
+++ b/packages/router/src/addresses.ts
@@ -1,26 +1,24 @@
-/** Which addresses a caller should use: near ones first, spread over instances, none that is leaving. */
+/** Orders instance addresses for callers: the chat's home owner first, then the same zone; draining instances are left out. */
 import * as contracts from '@kingcupdeck/contracts'
 import * as membership from '@kingcupdeck/membership'
 import * as routing from '@kingcupdeck/routing'
 
-/** What an answer depends on. */
+/** Inputs of the address order. */
 export interface AddressQuery {
-  /** Spreads callers that ask for nothing else. */
+  /** Rendezvous hashing key that distributes callers over instances of equal preference. */
   seed: string
   zone: string | undefined
-  /** Where the chat's home is owned, that instance comes first: the request then needs no hop. */
+  /** Instance that owns the chat's home endpoint; listed first, since requests sent to it need no forwarding. */
   home: string | undefined
 }
 
 /**
  * Orders the fleet's addresses for a caller.
- * @param views the fleet
- * @param query who asks
- * @returns addresses, the best first, and how long to keep them
+ * @returns addresses by descending preference, and their maximum age in seconds
  */
 export function toAddressList (views: membership.Views, query: AddressQuery): contracts.AddressList {
-  const staying = views.instances().filter(item => !item.leaving)
-  const scored = staying.map(item => ({ item, score: contracts.rendezvousScore(query.seed, item.id) }))
+  const available = views.instances().filter(item => !item.leaving)
+  const scored = available.map(item => ({ item, score: contracts.rendezvousScore(query.seed, item.id) }))
   const preference = (item: contracts.Instance): number => item.id === query.home ? 0 : item.zone === query.zone ? 1 : 2
   scored.sort((a, b) => preference(a.item) - preference(b.item) || b.score - a.score)
   return {
@@ -30,13 +28,9 @@
 }
 
 /**
- * Finds the owner of a chat's home engine.
- * @param views the fleet
- * @param table the endpoints
- * @param doc the document
- * @param model the model that the chat uses
- * @param chatKey what keeps the chat together
- * @returns the owner's id, or undefined where no engine carries the model
+ * Finds the instance that owns a chat's home endpoint.
+ * @param chatKey affinity key of the chat
+ * @returns the owner's id, or undefined if no ready endpoint serves the model
  */
 export function findHomeOwner (views: membership.Views, table: membership.EndpointTable, doc: contracts.Document, model: string, chatKey: string): string | undefined {
   const service = doc.models[model]?.service
--- a/packages/router/src/auth.ts
+++ b/packages/router/src/auth.ts
@@ -1,4 +1,4 @@
-/** Who may do what: an index over the tokens of the document in force. */
+/** Authentication by bearer tokens, indexed from the current configuration document. */
 import * as http from 'node:http'
 import * as contracts from '@kingcupdeck/contracts'
 import * as helpers from './http.js'
@@ -6,20 +6,19 @@
 /** A client account with its id. */
 export interface Account { id: string, spec: contracts.ClientAccount }
 
-/** The index. */
+/** Authenticates requests against the current configuration document. */
 export interface Auth {
   /** @throws FailureError `unauthenticated` */
   authenticateAccount (req: http.IncomingMessage): Account
   /** @throws FailureError `unauthenticated` */
   authenticateOperator (req: http.IncomingMessage): string
-  /** @throws FailureError when the token is not one of the service's endpoints */
+  /** @throws FailureError `unauthenticated`, or `unknown_service` if the service is not in the document */
   authenticateEndpoint (req: http.IncomingMessage, service: string): void
 }
 
 /**
- * Creates the index.
- * @param getDocument the document in force; the index is made anew when it changes
- * @returns the index
+ * Creates the token index.
+ * @param getDocument returns the current configuration document; the index is rebuilt when it changes
  */
 export function createAuth (getDocument: () => contracts.Document | null): Auth {
   let indexed: contracts.Document | null = null
@@ -44,13 +43,13 @@
     authenticateAccount (req) {
       refresh()
       const account = accounts.get(toDigest(req))
-      if (account === undefined) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The token is not that of a client account' })
+      if (account === undefined) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The bearer token does not belong to a client account' })
       return account
     },
     authenticateOperator (req) {
       refresh()
       const operator = operators.get(toDigest(req))
-      if (operator === undefined) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The token is not that of an operator' })
+      if (operator === undefined) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The bearer token does not belong to an operator' })
       return operator
     },
     authenticateEndpoint (req, service) {
@@ -58,17 +57,17 @@
       const spec = indexed?.services[service]
       if (spec === undefined) throw new contracts.FailureError({ kind: 'unknown_service', service })
       const digest = toDigest(req)
-      if (!spec.endpointTokens.some(known => contracts.isSameSecret(known, digest))) throw new contracts.FailureError({ kind: 'unauthenticated', what: `The token is not that of an endpoint of "${service}"` })
+      if (!spec.endpointTokens.some(known => contracts.isSameSecret(known, digest))) throw new contracts.FailureError({ kind: 'unauthenticated', what: `The bearer token does not belong to an endpoint of service "${service}"` })
     }
   }
 }
 
-/** The longest token that is worth hashing. */
+/** Longer tokens are rejected without being hashed. */
 const MAX_TOKEN_CHARS = 512
 
 function toDigest (req: http.IncomingMessage): string {
   const header = helpers.toHeader(req, 'authorization') ?? ''
   const token = header.startsWith('Bearer ') ? header.slice(7) : ''
-  if (token === '' || token.length > MAX_TOKEN_CHARS) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'There is no usable bearer token' })
+  if (token === '' || token.length > MAX_TOKEN_CHARS) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The bearer token is missing, empty or too long' })
   return contracts.sha256(token)
 }
--- a/packages/router/src/entryContext.ts
+++ b/packages/router/src/entryContext.ts
@@ -1,4 +1,4 @@
-/** What the handlers of an entry instance share. */
+/** Services shared by the request handlers of an entry instance. */
 import type * as contracts from '@kingcupdeck/contracts'
 import type * as membership from '@kingcupdeck/membership'
 import type * as routing from '@kingcupdeck/routing'
@@ -10,10 +10,10 @@
 import type * as placement from './placement.js'
 import type * as traces from './traces.js'
 
-/** How urgent a request is. */
+/** Priority and patience of a request; a lower rank is more urgent. */
 export interface Urgency { priority: string, rank: number, patienceMs: number }
 
-/** What the handlers of an entry instance share. */
+/** Services shared by the request handlers of an entry instance. */
 export interface EntryContext {
   member: membership.Membership
   placer: placement.Placer
@@ -25,12 +25,12 @@
   metrics: telemetry.RouterMetrics
   invariants: telemetry.Invariants
   maxBodyBytes: number
-  /** @returns the document in force. @throws FailureError `not_serving` before there is one */
+  /** Returns the current configuration document. @throws FailureError `not_serving` before one is received */
   requireDocument (): contracts.Document
-  /** Takes one request out of a client account's limit. @throws FailureError `account_limit` */
+  /** Counts one request against a client account's rate limit. @throws FailureError `account_limit` */
   enforceRateLimit (account: auths.Account): void
-  /** @returns priority and patience of a request */
+  /** @param priority priority set by the document, which overrides the caller's */
   toUrgency (exchange: helpers.Exchange, account: auths.Account, priority?: string): Urgency
-  /** @returns a signal that is aborted when the caller goes away before the answer is whole */
+  /** Returns a signal that aborts when the caller disconnects before the response is complete. */
   watchCaller (exchange: helpers.Exchange): AbortSignal
 }
--- a/packages/router/src/expiringSet.ts
+++ b/packages/router/src/expiringSet.ts
@@ -1,6 +1,6 @@
-/** A set of ids that forgets each after a while. */
+/** A set of ids with a retention time. */
 
-/** A set that forgets. */
+/** A set whose ids expire. */
 export interface ExpiringSet {
   add (id: string): void
   has (id: string): boolean
@@ -8,10 +8,9 @@
 
 /**
  * Creates an empty set.
- * @param keepMs how long an id is kept at least
- * @returns the set
+ * @param retentionMs minimum time an id is kept; expired ids are evicted when one is added
  */
-export function createExpiringSet (keepMs: number): ExpiringSet {
+export function createExpiringSet (retentionMs: number): ExpiringSet {
   const addedAt = new Map<string, number>()
   return {
     add (id) {
@@ -19,7 +18,7 @@
       addedAt.delete(id)
       addedAt.set(id, now)
       for (const [old, at] of addedAt) {
-        if (now - at < keepMs) break
+        if (now - at < retentionMs) break
         addedAt.delete(old)
       }
     },
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of the router package: a router instance as a library. */
+/** Public API of the router package. */
 export * from './router.js'
 export type { Exchange } from './http.js'
 export { parseJson, readBody, sendFailure, sendJson } from './http.js'
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -1,4 +1,4 @@
-/** A router instance: the entry for callers and the owner of its share of the endpoints, as a library. */
+/** A router instance: serves callers as an entry instance and owns its share of the endpoints. */
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
 import * as membership from '@kingcupdeck/membership'
@@ -16,19 +16,19 @@
 import * as servers from './server.js'
 import * as traces from './traces.js'
 
-/** What a router instance is built from. */
+/** Options of {@link createRouter}. */
 export interface RouterOptions {
   id: string
   zone: string
-  /** Names this start of the process. */
+  /** Id of this process start. */
   boot: string
-  /** IP number and port for callers; port 0 takes a free one. */
+  /** IP address and port for callers; port 0 selects a free one. */
   listen: string
-  /** IP number and port for peers; port 0 takes a free one. */
+  /** IP address and port for peers; port 0 selects a free one. */
   peerListen: string
-  /** Base URL that callers are told; from `listen` when absent. */
+  /** Base URL advertised to callers; derived from `listen` by default. */
   advertiseUrl?: string
-  /** Address that peers are told; from `peerListen` when absent. */
+  /** Address advertised to peers; derived from `peerListen` by default. */
   advertisePeer?: string
   controls: readonly membership.ControlAddress[]
   secret: string
@@ -37,9 +37,9 @@
   policy: routing.PlacementPolicy
   isKvImportEnabled: boolean
   log: telemetry.Log
-  /** Whether a broken invariant ends the process. */
+  /** Whether a violated invariant ends the process. */
   isFatal: boolean
-  /** A number in [0, 1). */
+  /** Random source with values in [0, 1); `Math.random` by default. */
   random?: () => number
 }
 
@@ -50,24 +50,22 @@
   readonly metrics: telemetry.RouterMetrics
   readonly member: membership.Membership
   invariants (): Record<telemetry.Invariant, telemetry.Tally>
-  /** Leaves without cutting a request: see docs/OPERATIONS.md. */
+  /** Drains the instance and stops it without interrupting requests; see docs/OPERATIONS.md. */
   shutdown (): Promise<void>
-  /** Ends at once. */
+  /** Stops immediately. */
   stop (): Promise<void>
 }
 
 const DATA_MESSAGES = new Set(['dispatch', 'accepted', 'chunk', 'answer', 'done', 'declined', 'lost', 'cancel'])
 const LEDGER_MESSAGES = new Set(['ledgerBegin', 'ledgerFinish', 'ledgerAbort', 'ledger'])
-/** Labels must not grow with what a peer sends. */
+/** Message tags allowed as metric label values; bounds the cardinality whatever peers send. */
 const MESSAGES = new Set([...DATA_MESSAGES, ...LEDGER_MESSAGES, 'ping', 'renew', 'lease', 'loads', 'pools', 'view', 'viewSeen', 'document', 'gossip', 'suspects', 'placed', 'handover'])
-const PEER_CALL_MS = 1500
-const SUSPECT_NEWS_MS = 10_000
-const DRAIN_LOOK_MS = 100
+const PEER_CALL_TIMEOUT_MS = 1500
+const SUSPECT_RESEND_MS = 10_000
+const DRAIN_POLL_MS = 100
 
 /**
- * Starts a router instance.
- * @param opts who it is and how it works
- * @returns the instance, which serves once it holds a lease
+ * Starts a router instance. It serves requests once it has a lease and a configuration document.
  * @example
  * const router = await createRouter({ id: 'r1', zone: 'a', listen: '127.0.0.1:8080', ... })
  * process.on('SIGTERM', () => router.shutdown())
@@ -97,26 +95,26 @@
 
   const callPeer = async (peer: contracts.Instance, msg: contracts.PeerCall): Promise<contracts.PeerReply> => {
     const link = await peers.get(peer.id, peer.peer)
-    return contracts.peerReply.parse(await link.call(msg, PEER_CALL_MS))
+    return contracts.peerReply.parse(await link.call(msg, PEER_CALL_TIMEOUT_MS))
   }
   const sendTo = (peer: contracts.Instance, event: contracts.PeerEvent): void => {
     peers.get(peer.id, peer.peer).then(link => { link.send(event) }, () => {})
   }
 
   const others = (): contracts.Instance[] => member.views.instances().filter(item => item.id !== opts.id)
-  const spreadSuspects = (fingerprints: readonly string[]): void => {
+  const broadcastSuspects = (fingerprints: readonly string[]): void => {
     const list = suspects.toReports(fingerprints)
     for (const peer of others()) sendTo(peer, { t: 'suspects', list })
   }
-  /** A peer that missed the news, or is new, hears all that is known from one or the other in time. */
-  const remindOfSuspects = (): void => {
+  /** Sends all suspects to a random peer, which covers peers that joined later or missed a broadcast. */
+  const resendSuspects = (): void => {
     const list = suspects.toReports()
     const peers = others()
     if (list.length > 0 && peers.length > 0) sendTo(peers[Math.floor(random() * peers.length)], { t: 'suspects', list })
   }
 
-  // The HTTP port must be known before the instance joins, because the view carries its URL. No request is taken before
-  // the handler below exists: nothing waits in between.
+  // The HTTP port must be known before the instance joins, because its URL is part of the view. No request can arrive
+  // before `handle` below is assigned, since nothing is awaited in between.
   const server = await servers.startServer(opts.listen, async (req, res) => { await handle(req, res) })
   const url = opts.advertiseUrl ?? `http://${links.parseAddress(opts.listen).host}:${server.port}`
 
@@ -131,7 +129,7 @@
     collectDemand: limits.collectDemand
   })
   const gossip = membership.createGossip({ table, peers: others, call: callPeer, random })
-  const owner: owners.Owner = owners.createOwner({ member, table, gossip, suspects, log, metrics, invariants, policy: opts.policy, isKvImportEnabled: opts.isKvImportEnabled, broadcastSuspects: spreadSuspects })
+  const owner: owners.Owner = owners.createOwner({ member, table, gossip, suspects, log, metrics, invariants, policy: opts.policy, isKvImportEnabled: opts.isKvImportEnabled, broadcastSuspects })
   const openAttempts = attempts.createAttempts({ selfId: opts.id, peers, dispatchLocally: owner.dispatch, cancelLocally: owner.cancel, recordChatLocationLocally: owner.recordChatLocation })
   const otherAddresses = (): string[] => others().filter(item => !item.leaving).map(item => item.url)
   const placer = placement.createPlacer({ member, table, attempts: openAttempts, suspects, policy: opts.policy, random, otherAddresses })
@@ -149,7 +147,7 @@
     maxBodyBytes: opts.maxBodyBytes,
     requireDocument: () => {
       const doc = member.document()
-      if (doc === null) throw new contracts.FailureError({ kind: 'not_serving', detail: 'it has not got the configuration yet', addresses: otherAddresses(), retryAfterMs: 1000 })
+      if (doc === null) throw new contracts.FailureError({ kind: 'not_serving', detail: 'no configuration document received yet', addresses: otherAddresses(), retryAfterMs: 1000 })
       return doc
     },
     enforceRateLimit: account => {
@@ -162,7 +160,7 @@
   const handle = servers.createHandler({ ctx, auth: auths.createAuth(() => member.document()), log, table, owner, explain: async requestId => await explain(requestId) })
 
   const stopTasks = ownerTasks.startOwnerTasks({ owner, member, table, gossip, log, invariants, sendTo })
-  const stopSuspects = links.startPeriodic(SUSPECT_NEWS_MS, remindOfSuspects, () => {})
+  const stopSuspects = links.startPeriodic(SUSPECT_RESEND_MS, resendSuspects, () => {})
 
   const onEvent = (body: unknown, link: links.Link): void => {
     const msg = parseEvent(body)
@@ -221,10 +219,10 @@
     async shutdown () {
       log.event('stopping', { inFlight: owner.inFlight() })
       await member.drain()
-      // Callers keep old addresses until these expire, so the instance serves on until then.
-      await wait(contracts.ADDRESS_MAX_AGE_MS + contracts.LEASE_RENEW_INTERVAL_MS)
+      // Callers may use cached addresses until they expire, so the instance keeps serving until then.
+      await delay(contracts.ADDRESS_MAX_AGE_MS + contracts.LEASE_RENEW_INTERVAL_MS)
       await server.close()
-      while (owner.inFlight() > 0) await wait(DRAIN_LOOK_MS)
+      while (owner.inFlight() > 0) await delay(DRAIN_POLL_MS)
       await member.leave()
       await stop()
       log.event('stopped')
@@ -232,11 +230,11 @@
   }
 }
 
-async function wait (ms: number): Promise<void> {
+async function delay (ms: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, ms))
 }
 
-/** Hot path: chunks are checked by hand, all other events by their schema. */
+/** Hot path: chunks are validated by hand, all other events by their schema. */
 function parseEvent (body: unknown): contracts.PeerEvent | undefined {
   const chunk = body as { t?: unknown, attempt?: unknown, n?: unknown, data?: unknown } | null
   if (chunk?.t === 'chunk' && typeof chunk.attempt === 'string' && typeof chunk.n === 'number' && typeof chunk.data === 'string') return chunk as contracts.PeerEvent
@@ -250,10 +248,10 @@
     const group = DATA_MESSAGES.has(tag) ? 'data' : LEDGER_MESSAGES.has(tag) ? 'ledger' : 'control'
     return metrics.linkBytes.labels({ direction, class: group, message: tag })
   }
-  // Hot path: one call for each frame.
+  // Hot path: called once per frame.
   return (direction, bytes, body) => {
-    const asked = (body as { t?: string } | null)?.t ?? 'ping'
-    const tag = MESSAGES.has(asked) ? asked : 'other'
+    const messageTag = (body as { t?: string } | null)?.t ?? 'ping'
+    const tag = MESSAGES.has(messageTag) ? messageTag : 'other'
     const key = direction + tag
     let counter = counters.get(key)
     if (counter === undefined) {
@@ -264,20 +262,20 @@
   }
 }
 
-/** A caller may ask for less urgency than its account has, and for less patience than the hour allows. */
+/** A caller may request a less urgent priority than its account's, and less patience than the document allows at the time. */
 function toUrgency (doc: contracts.Document, exchange: helpers.Exchange, account: auths.Account, fixed: string | undefined): context.Urgency {
-  const asked = fixed ?? helpers.toHeader(exchange.req, contracts.HEADERS.priority)
-  if (asked !== undefined && doc.priorities[asked] === undefined) throw new contracts.FailureError({ kind: 'bad_request', detail: `There is no priority "${asked}". Use one of ${Object.keys(doc.priorities).join(', ')}.` })
-  const own = doc.priorities[account.spec.priority]
-  const isLower = asked !== undefined && doc.priorities[asked].rank >= own.rank
-  const priority = isLower || fixed !== undefined ? asked ?? account.spec.priority : account.spec.priority
+  const requested = fixed ?? helpers.toHeader(exchange.req, contracts.HEADERS.priority)
+  if (requested !== undefined && doc.priorities[requested] === undefined) throw new contracts.FailureError({ kind: 'bad_request', detail: `Unknown priority "${requested}". Use one of ${Object.keys(doc.priorities).join(', ')}.` })
+  const accountPriority = doc.priorities[account.spec.priority]
+  const isNotMoreUrgent = requested !== undefined && doc.priorities[requested].rank >= accountPriority.rank
+  const priority = isNotMoreUrgent || fixed !== undefined ? requested ?? account.spec.priority : account.spec.priority
   const patienceMs = routing.toPatienceMs(doc, priority, Date.now())
-  const asksLess = Number(helpers.toHeader(exchange.req, contracts.HEADERS.patience))
-  return { priority, rank: doc.priorities[priority].rank, patienceMs: asksLess > 0 ? Math.min(patienceMs, asksLess * 1000) : patienceMs }
+  const requestedSeconds = Number(helpers.toHeader(exchange.req, contracts.HEADERS.patience))
+  return { priority, rank: doc.priorities[priority].rank, patienceMs: requestedSeconds > 0 ? Math.min(patienceMs, requestedSeconds * 1000) : patienceMs }
 }
 
 function watchCaller (exchange: helpers.Exchange): AbortSignal {
-  const gone = new AbortController()
-  exchange.res.on('close', () => { if (!exchange.res.writableFinished) gone.abort() })
-  return gone.signal
+  const controller = new AbortController()
+  exchange.res.on('close', () => { if (!exchange.res.writableFinished) controller.abort() })
+  return controller.signal
 }
--- a/packages/router/src/server.ts
+++ b/packages/router/src/server.ts
@@ -1,4 +1,4 @@
-/** The HTTP face of a router instance: callers, endpoints, operators and monitoring. */
+/** HTTP server of a router instance, for callers, endpoints, operators and monitoring. */
 import * as http from 'node:http'
 import * as net from 'node:net'
 import * as contracts from '@kingcupdeck/contracts'
@@ -16,43 +16,41 @@
 import * as plainEntry from './plainEntry.js'
 import type * as traces from './traces.js'
 
-/** What the paths work with. */
+/** Dependencies of {@link createHandler}. */
 export interface HandlerOptions {
   ctx: context.EntryContext
   auth: auths.Auth
   owner: owners.Owner
   table: membership.EndpointTable
   log: telemetry.Log
-  /** Asks the instance that a request entered at for its trace. */
+  /** Fetches a request's trace from its entry instance. */
   explain (requestId: string): Promise<traces.TraceStep[] | undefined>
 }
 
-/** The running server. */
+/** A running HTTP server. */
 export interface EntryServer {
-  /** The port it listens on. */
   readonly port: number
-  /** @returns requests being served */
+  /** Returns the number of requests being served. */
   openRequests (): number
-  /** Stops taking connections and resolves when the last request has its answer. */
+  /** Stops accepting connections and resolves when the last response is sent. */
   close (): Promise<void>
 }
 
-const REQUEST_MS = 30_000
-const HEADERS_MS = 10_000
+const REQUEST_TIMEOUT_MS = 30_000
+const HEADERS_TIMEOUT_MS = 10_000
+const KEEP_ALIVE_TIMEOUT_MS = 5000
 
-/** Answers one request. */
+/** Handles one request. */
 export type Handle = (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void>
 
 /**
- * Starts the server.
- * @param address IP number and port; port 0 takes a free one
- * @param handle answers requests
- * @returns the server
+ * Starts an HTTP server.
+ * @param address IP address and port; port 0 selects a free one
  */
 export async function startServer (address: string, handle: Handle): Promise<EntryServer> {
   let open = 0
   let isClosing = false
-  const server = http.createServer({ requestTimeout: REQUEST_MS, headersTimeout: HEADERS_MS, keepAliveTimeout: 5000 }, (req, res) => {
+  const server = http.createServer({ requestTimeout: REQUEST_TIMEOUT_MS, headersTimeout: HEADERS_TIMEOUT_MS, keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS }, (req, res) => {
     open++
     res.on('close', () => { open-- })
     if (isClosing) res.setHeader('connection', 'close')
@@ -78,11 +76,7 @@
   }
 }
 
-/**
- * Creates the handler of all paths.
- * @param opts what the paths work with
- * @returns the handler; every error becomes an answer
- */
+/** Creates the handler of all paths. Errors are sent to the caller as responses. */
 export function createHandler (opts: HandlerOptions): Handle {
   return async (req, res) => { await serve(opts, req, res) }
 }
@@ -115,11 +109,11 @@
   const { ctx, auth } = opts
   const { req, url } = exchange
   const parts = url.pathname.split('/').filter(part => part !== '')
-  const [version, what, first, second] = parts
+  const [version, resource, first, second] = parts
   if (url.pathname === '/health') { sendHealth(opts, exchange); return }
   if (url.pathname === '/metrics') { await sendMetrics(opts, exchange); return }
   if (version !== 'v1') throw notFound(exchange)
-  switch (what) {
+  switch (resource) {
     case 'chat':
       if (req.method !== 'POST' || first !== 'completions' || parts.length !== 3) throw notFound(exchange)
       ctx.requireDocument()
@@ -132,7 +126,7 @@
       return
     case 'models': sendModels(opts, exchange); return
     case 'addresses': sendAddresses(opts, exchange); return
-    case 'announcements': await takeAnnouncement(opts, exchange); return
+    case 'announcements': await receiveAnnouncement(opts, exchange); return
     case 'explain':
       auth.authenticateOperator(req)
       await sendTrace(opts, exchange, decodeURIComponent(first ?? ''))
@@ -188,11 +182,11 @@
 
 const MAX_ANNOUNCEMENT_BYTES = 256 * 1024
 
-async function takeAnnouncement (opts: HandlerOptions, exchange: helpers.Exchange): Promise<void> {
+async function receiveAnnouncement (opts: HandlerOptions, exchange: helpers.Exchange): Promise<void> {
   const { ctx, auth, owner } = opts
   if (exchange.req.method !== 'POST') throw notFound(exchange)
-  // The token is looked up before the body is read, so that a stranger's body costs nothing.
-  if (exchange.req.headers.authorization === undefined) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'There is no usable bearer token' })
+  // Checked first, so that the body of a request without a token is not read.
+  if (exchange.req.headers.authorization === undefined) throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The bearer token is missing' })
   const parsed = contracts.announcement.safeParse(helpers.parseJson(await helpers.readBody(exchange.req, MAX_ANNOUNCEMENT_BYTES)))
   if (!parsed.success) throw new contracts.FailureError({ kind: 'bad_request', detail: parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; ') })
   const announcement = parsed.data
@@ -203,10 +197,10 @@
     opts.log.event('announcementRefused', { endpoint: announcement.endpoint, service: announcement.service })
     throw err
   }
-  const place = { id: announcement.endpoint, zone: announcement.zone }
-  const next = ctx.member.views.ownerOf(place)
-  const intervalMs = next?.id === ctx.member.self().id ? owner.receiveAnnouncement(announcement, 0) : contracts.ANNOUNCE_INTERVAL_MS
-  const reply: contracts.AnnouncementReply = { owner: next?.url ?? null, intervalMs: Math.round(intervalMs) }
+  const key = { id: announcement.endpoint, zone: announcement.zone }
+  const endpointOwner = ctx.member.views.ownerOf(key)
+  const intervalMs = endpointOwner?.id === ctx.member.self().id ? owner.receiveAnnouncement(announcement, 0) : contracts.ANNOUNCE_INTERVAL_MS
+  const reply: contracts.AnnouncementReply = { owner: endpointOwner?.url ?? null, intervalMs: Math.round(intervalMs) }
   helpers.sendJson(exchange, 200, reply)
 }
 
--- a/packages/router/src/traces.ts
+++ b/packages/router/src/traces.ts
@@ -1,28 +1,24 @@
-/** What was decided for recent requests and why, for `kingcupdeck explain`. */
+/** In-memory traces of recent requests, for `kingcupdeck explain`. */
 
-/** One decision. */
+/** One decision, with the time since the trace was opened. */
 export interface TraceStep { atMs: number, step: string, why: string }
 
-/** The decisions for one request. */
+/** Records the decisions for one request. */
 export interface Trace {
-  /** Notes a decision. */
   record (step: string, why?: string): void
 }
 
 /** Traces of recent requests. */
 export interface Traces {
   open (requestId: string): Trace
-  /** @returns the decisions, or undefined where the request is not known (any more) */
+  /** Returns a request's decisions, or undefined if the trace is unknown or evicted. */
   find (requestId: string): TraceStep[] | undefined
 }
 
 const MAX_TRACES = 5000
 const MAX_STEPS = 60
 
-/**
- * Creates the traces of an instance.
- * @returns none yet
- */
+/** Creates an empty trace store, which evicts the oldest trace when full. */
 export function createTraces (): Traces {
   const traces = new Map<string, TraceStep[]>()
   return {
