--- a/packages/router/src/addresses.ts
+++ b/packages/router/src/addresses.ts
@@ -19,8 +19,8 @@
 export function toAddressList (views: membership.Views, query: AddressQuery): contracts.AddressList {
   const available = views.instances().filter(item => !item.leaving)
   const scored = available.map(item => ({ item, score: contracts.rendezvousScore(query.seed, item.id) }))
-  const preference = (item: contracts.Instance): number => item.id === query.home ? 0 : item.zone === query.zone ? 1 : 2
-  scored.sort((a, b) => preference(a.item) - preference(b.item) || b.score - a.score)
+  const toPreference = (item: contracts.Instance): number => item.id === query.home ? 0 : item.zone === query.zone ? 1 : 2
+  scored.sort((a, b) => toPreference(a.item) - toPreference(b.item) || b.score - a.score)
   return {
     addresses: scored.map(({ item }) => ({ instance: item.id, zone: item.zone, url: item.url })),
     maxAgeSeconds: contracts.ADDRESS_MAX_AGE_MS / 1000
--- a/packages/router/src/attempts.ts
+++ b/packages/router/src/attempts.ts
@@ -121,9 +121,9 @@
   let waiter: ((event: AttemptEvent) => void) | undefined
   return {
     put (event) {
-      const waiting = waiter
+      const resolve = waiter
       waiter = undefined
-      if (waiting !== undefined) waiting(event)
+      if (resolve !== undefined) resolve(event)
       else queued.push(event)
     },
     async take () {
--- a/packages/router/src/plainCall.ts
+++ b/packages/router/src/plainCall.ts
@@ -18,10 +18,10 @@
   const { msg } = session
   if (msg.work.kind !== 'plain') throw new Error(`expected work of kind plain, got ${msg.work.kind}`)
   const { signal } = session.abort
-  let isSilent = false
+  let isTimedOut = false
   // Destroying the connection ends the call, and is cheaper than one more abort signal per call.
   const timer = setTimeout(() => {
-    isSilent = true
+    isTimedOut = true
     lease.destroy()
   }, timeoutMs)
   const headers: Record<string, string> = { [contracts.HEADERS.attempt]: msg.attempt, [contracts.HEADERS.requestId]: msg.request }
@@ -45,7 +45,7 @@
     return { kind: 'answer', status: res.statusCode, contentType: String(res.headers['content-type'] ?? 'application/octet-stream'), body }
   } catch (err) {
     lease.destroy()
-    if (isSilent) return { kind: 'silent' }
+    if (isTimedOut) return { kind: 'silent' }
     return { kind: 'cut', detail: err instanceof Error ? err.message : String(err) }
   } finally {
     clearTimeout(timer)
--- a/packages/router/src/plainEntry.ts
+++ b/packages/router/src/plainEntry.ts
@@ -76,8 +76,8 @@
   if (checked.kind === 'unusable') throw new contracts.FailureError({ kind: 'key_invalid', detail: checked.detail })
   const entry: ledgerClient.LedgerKey = { account: account.id, key, attempt: ids.createAttemptId() }
   const hash = contracts.sha256(Buffer.concat([Buffer.from(`${plain.service}/${plain.call}\n`), body]))
-  const earlier = await beginInLedger(ctx, request, entry, hash)
-  if (earlier !== undefined) return earlier
+  const earlierAnswer = await beginInLedger(ctx, request, entry, hash)
+  if (earlierAnswer !== undefined) return earlierAnswer
   let answer: PlainAnswer
   try {
     answer = await runOnEndpoint(ctx, request, entry)
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -187,8 +187,8 @@
   }
 
   const explain = async (requestId: string): Promise<traces.TraceStep[] | undefined> => {
-    const here = requestTraces.find(requestId)
-    if (here !== undefined) return here
+    const localTrace = requestTraces.find(requestId)
+    if (localTrace !== undefined) return localTrace
     const peer = others().find(item => item.id === ids.toEntryInstance(requestId))
     if (peer === undefined) return undefined
     const reply = await callPeer(peer, { t: 'explain', request: requestId })
--- a/packages/router/src/server.ts
+++ b/packages/router/src/server.ts
@@ -48,11 +48,11 @@
  * @param address IP address and port; port 0 selects a free one
  */
 export async function startServer (address: string, handle: Handle): Promise<EntryServer> {
-  let open = 0
+  let openRequests = 0
   let isClosing = false
   const server = http.createServer({ requestTimeout: REQUEST_TIMEOUT_MS, headersTimeout: HEADERS_TIMEOUT_MS, keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS }, (req, res) => {
-    open++
-    res.on('close', () => { open-- })
+    openRequests++
+    res.on('close', () => { openRequests-- })
     if (isClosing) res.setHeader('connection', 'close')
     void handle(req, res)
   })
@@ -66,7 +66,7 @@
   })
   return {
     port: (server.address() as net.AddressInfo).port,
-    openRequests: () => open,
+    openRequests: () => openRequests,
     close: async () => {
       isClosing = true
       const closed = new Promise<void>(resolve => { server.close(() => { resolve() }) })
