--- a/packages/forwarding/__tests__/helpers/engineModel.ts
+++ b/packages/forwarding/__tests__/helpers/engineModel.ts
@@ -42,13 +42,7 @@
 const CLIENT_PATIENCE_MS = 3200
 const LATE_CREDIT = 0.31
 
-/**
- * Plays a load.
- * @param load the load
- * @param policy what instances do
- * @param seed of the random numbers
- * @returns how it was served
- */
+/** Plays a load. */
 export function play (load: Load, policy: Policy, seed: number): Served {
   const random = helper.createRandom(seed)
   const engines: Engine[] = Array.from({ length: ENGINES }, () => ({ queue: [], running: [], cache: new Set(), busyUntil: 0, isLost: false }))
--- a/packages/forwarding/__tests__/queueDelay.test.ts
+++ b/packages/forwarding/__tests__/queueDelay.test.ts
@@ -53,7 +53,7 @@
   const meter = queueDelays.createQueueDelayEstimator()
   const first = meter.onSent(0)
   const second = meter.onSent(1)
-  t.is(meter.classify(first), 'silent')
+  t.is(meter.classify(first), 'unresponsive')
   meter.onResponse(meter.onSent(100), 150)
   t.true((meter.estimateMs(900) ?? 0) < 200)
   t.is(meter.classify(first), 'overtaken')
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -1,72 +1,68 @@
-/** One send of a request to one endpoint, and what is known of it: not sent, not run, maybe run, or answered. */
+/** One attempt to send a request to an endpoint. The result distinguishes requests that were not sent, not run, and possibly run. */
 import * as http from 'node:http'
 import * as net from 'node:net'
 import * as links from '@kingcupdeck/links'
 import * as endpointPools from './endpointPool.js'
 import * as headerNames from './headerNames.js'
 
-/** What is sent. */
+/** A request to an endpoint. */
 export interface OutgoingRequest {
   method: string
-  /** Path with query, as the client sent it. */
+  /** Path with query, as received from the client. */
   url: string
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   headers: string[]
   body: Buffer
   attemptId: string
 }
 
-/** What came of a send. */
+/** Result of an attempt. */
 export type AttemptResult =
-  /** No connection was made: nothing was sent. */
+  /** The connection failed; nothing was sent. */
   | { kind: 'unreachable', why: string }
-  /** The endpoint says that it did not run the request. */
+  /** The endpoint reported that it did not run the request. */
   | { kind: 'notRun', status: number }
-  /** No usable answer came; the endpoint may have run the request. */
+  /** No valid response was received; the endpoint may have run the request. */
   | { kind: 'lost', why: string }
-  /** The endpoint answers; the body is still to come. */
-  | { kind: 'answer', res: http.IncomingMessage, abort: () => void, /** Whether the connection failed, as with a reset. */ isBroken: () => boolean }
+  /** The response headers were received; the body follows. */
+  | { kind: 'response', res: http.IncomingMessage, abort: () => void, /** Whether the connection failed, for example by a reset. */ isBroken: () => boolean }
 
-/** What a send needs. */
+/** Options of {@link sendAttempt}. */
 export interface AttemptOptions {
   endpoint: endpointPools.Endpoint
   request: OutgoingRequest
   names: headerNames.HeaderNames
-  /** Ends the send, when the client has left or the time is over. */
+  /** Aborts the attempt. */
   signal: AbortSignal
-  /** How long to wait for the head of the answer, milliseconds. */
+  /** Time to wait for the response headers, in milliseconds. */
   responseTimeoutMs: number
-  /** Asked when that time is over: whether to wait on for a while. */
+  /** Called when that time is over; returns whether to keep waiting. */
   mayKeepWaiting?: () => boolean
 }
 
 /**
- * No connection within this time, in milliseconds: the endpoint is down or cut off; longer than a round trip between
- * availability zones.
+ * Connect timeout in milliseconds, longer than a round trip between availability zones. An endpoint that exceeds it is considered
+ * unreachable.
  */
 export const CONNECT_TIMEOUT_MS = 350
 
-/** How often an attempt that is over its time asks whether it may wait on. */
-const WAIT_ON_MS = 200
+/** Interval of the calls of mayKeepWaiting. */
+const RECHECK_MS = 200
 
-/**
- * Sends a request to an endpoint.
- * @param opts endpoint, request and limits
- * @returns what is known once the head of the answer is there, or none will come
- */
+/** Sends a request to an endpoint. Resolves when the response headers are received or the attempt has failed. */
 export async function sendAttempt (opts: AttemptOptions): Promise<AttemptResult> {
-  const { endpoint, request: out } = opts
+  const { endpoint, request } = opts
   const { host, port } = links.parseAddress(endpoint.record.address)
   return await new Promise<AttemptResult>(resolve => {
     let isConnected = false
     let isSettled = false
     let isBroken = false
-    const settle = (sent: AttemptResult): void => {
+    const settle = (result: AttemptResult): void => {
       if (isSettled) return
       isSettled = true
       clearTimeout(timer)
       opts.signal.removeEventListener('abort', onAbort)
-      resolve(sent)
+      resolve(result)
     }
     const fail = (why: string): void => {
       settle(isConnected ? { kind: 'lost', why } : { kind: 'unreachable', why })
@@ -74,18 +70,18 @@
     }
     const onAbort = (): void => { fail(String(opts.signal.reason)) }
     const startedAt = performance.now()
-    function onTime (): void {
-      if (opts.mayKeepWaiting?.() === true) timer = setTimeout(onTime, WAIT_ON_MS)
-      else fail(`no answer within ${Math.round(performance.now() - startedAt)} ms`)
+    function onTimeout (): void {
+      if (opts.mayKeepWaiting?.() === true) timer = setTimeout(onTimeout, RECHECK_MS)
+      else fail(`no response within ${Math.round(performance.now() - startedAt)} ms`)
     }
 
     const req = http.request({
       host,
       port,
       agent: endpoint.agent,
-      method: out.method,
-      path: out.url,
-      headers: out.headers,
+      method: request.method,
+      path: request.url,
+      headers: request.headers,
       setHost: false
     })
     req.on('socket', (socket: net.Socket) => {
@@ -106,96 +102,87 @@
       fail(err.message)
     })
     req.on('response', res => {
-      // Without a listener of its own, an answer that breaks off later would be an uncaught error.
+      // Without a listener, an error of the response after this point would be uncaught.
       res.on('error', () => {})
       if (isUnframed(res)) res.socket.prependListener('end', () => { isBroken ||= isReset(res.socket) })
       if (isSettled) {
         req.destroy()
         return
       }
-      settle(judge(res, req, opts, () => isBroken))
+      settle(toResult(res, req, opts, () => isBroken))
     })
-    let timer = setTimeout(onTime, opts.responseTimeoutMs)
+    let timer = setTimeout(onTimeout, opts.responseTimeoutMs)
     opts.signal.addEventListener('abort', onAbort, { once: true })
     if (opts.signal.aborted) {
       onAbort()
       return
     }
-    req.end(out.body)
+    req.end(request.body)
   })
 }
 
-/** @returns whether the body has no length and ends with the connection */
+/** Returns whether the end of the connection delimits the body. */
 function isUnframed (res: http.IncomingMessage): boolean {
   return res.headers['content-length'] === undefined && res.headers['transfer-encoding'] === undefined
 }
 
 /**
- * Tells a reset from an orderly end. Guards against half an answer that passes for whole: where the last bytes and the reset
- * arrive together, the event loop reports the end of the stream and no error. A socket that was reset has no peer any more;
- * one whose peer closed it in order still has.
+ * Distinguishes a reset from an orderly close. If the last bytes and the reset arrive together, the event loop reports the end of the
+ * stream without an error; only the missing remote address of the socket shows the reset.
  */
 function isReset (socket: net.Socket): boolean {
   return socket.remoteAddress === undefined
 }
 
-function judge (res: http.IncomingMessage, req: http.ClientRequest, opts: AttemptOptions, isBroken: () => boolean): AttemptResult {
-  const { names, request: out } = opts
+function toResult (res: http.IncomingMessage, req: http.ClientRequest, opts: AttemptOptions, isBroken: () => boolean): AttemptResult {
+  const { names, request } = opts
   const discard = (): void => {
     res.resume()
     req.destroy()
   }
-  // Guards against an answer that belongs to an earlier request on this connection: it came late, where the next answer is
-  // expected. The endpoint echoes the attempt's id, which shows whose answer it is.
+  // A late response to an earlier request on this connection must not be taken for the response to this one. The endpoint echoes the
+  // attempt id.
   const echoed = res.headers[names.attemptId]
   const status = res.statusCode ?? 0
   const isNotRun = res.headers[names.notRun] !== undefined || status === 421
-  if (echoed !== undefined && echoed !== out.attemptId) {
+  if (echoed !== undefined && echoed !== request.attemptId) {
     discard()
-    return { kind: 'lost', why: 'the answer belongs to another request' }
+    return { kind: 'lost', why: 'the response belongs to another request' }
   }
   if (isNotRun) {
-    // Its body is short; the connection serves on unless the endpoint closes it.
+    // The body is short: it is discarded, and the connection is reused.
     res.resume()
     return { kind: 'notRun', status }
   }
   if (echoed === undefined) {
     discard()
-    return { kind: 'lost', why: 'the answer does not say which request it belongs to' }
+    return { kind: 'lost', why: 'the response has no attempt id' }
   }
   if (status < 200 || (status < 300 && res.headers[names.seal] === undefined)) {
     discard()
-    return { kind: 'lost', why: 'a success without the endpoint\'s seal' }
+    return { kind: 'lost', why: 'the success response has no endpoint seal' }
   }
   if (res.headers['content-encoding'] !== undefined) {
     discard()
-    return { kind: 'lost', why: 'the answer is encoded, which no client asked for' }
+    return { kind: 'lost', why: 'the response has a content encoding, which was not requested' }
   }
-  return { kind: 'answer', res, abort: () => { req.destroy() }, isBroken }
+  return { kind: 'response', res, abort: () => { req.destroy() }, isBroken }
 }
 
-/** What came of reading a body. */
-export type BodyResult = { kind: 'whole', body: Buffer } | { kind: 'broken', why: string }
+/** Result of {@link readBody}. */
+export type BodyResult = { kind: 'complete', body: Buffer } | { kind: 'broken', why: string }
 
 /**
- * Tells whether a body that ended came to its end. Guards against an answer without a length that is reset on its way: the
- * HTTP library takes the end of the connection for the end of the body, also when it broke.
- * @param answer the answer
- * @returns whether nothing is missing
+ * Returns whether a response that ended is complete. The HTTP library reports the end of a body without a length also when the
+ * connection was reset.
  */
-export function isComplete (answer: Extract<AttemptResult, { kind: 'answer' }>): boolean {
-  return answer.res.complete && !answer.isBroken()
+export function isComplete (response: Extract<AttemptResult, { kind: 'response' }>): boolean {
+  return response.res.complete && !response.isBroken()
 }
 
-/**
- * Reads a body to its end.
- * @param answer the answer
- * @param signal ends the reading
- * @param maxBytes the most that is held
- * @returns the body, or why it is not whole
- */
-export async function readBody (answer: Extract<AttemptResult, { kind: 'answer' }>, signal: AbortSignal, maxBytes: number): Promise<BodyResult> {
-  const { res } = answer
+/** Reads a body to its end. */
+export async function readBody (response: Extract<AttemptResult, { kind: 'response' }>, signal: AbortSignal, maxBytes: number): Promise<BodyResult> {
+  const { res } = response
   return await new Promise(resolve => {
     const chunks: Buffer[] = []
     let bytes = 0
@@ -208,10 +195,10 @@
     res.on('data', (chunk: Buffer) => {
       chunks.push(chunk)
       bytes += chunk.length
-      if (bytes > maxBytes) settle({ kind: 'broken', why: `the answer is larger than ${maxBytes} bytes` })
+      if (bytes > maxBytes) settle({ kind: 'broken', why: `the response is larger than ${maxBytes} bytes` })
     })
     res.on('end', () => {
-      settle(isComplete(answer) ? { kind: 'whole', body: Buffer.concat(chunks, bytes) } : { kind: 'broken', why: 'the answer ended early' })
+      settle(isComplete(response) ? { kind: 'complete', body: Buffer.concat(chunks, bytes) } : { kind: 'broken', why: 'the response body is truncated' })
     })
     res.on('error', err => { settle({ kind: 'broken', why: err.message }) })
     res.on('close', () => { settle({ kind: 'broken', why: 'the connection closed' }) })
--- a/packages/forwarding/src/clientCall.ts
+++ b/packages/forwarding/src/clientCall.ts
@@ -1,13 +1,13 @@
-/** One request of a client: what was decided when it came in, and how it is answered. */
+/** An admitted client request, and the responses that the entry instance generates itself. */
 import * as http from 'node:http'
 import * as entryContexts from './entryContext.js'
 import * as retryAfters from './retryAfter.js'
 import * as routeTables from './routeTable.js'
 
-/** How a send to an endpoint went, for the log. */
-export interface AttemptRecord { endpoint: string, /** Why this endpoint was chosen. */ why: string, outcome: string, ms: number }
+/** Result of one attempt at an endpoint, for the log. */
+export interface AttemptRecord { endpoint: string, /** Why the endpoint was selected. */ why: string, outcome: string, ms: number }
 
-/** One request of a client. */
+/** An admitted client request. */
 export interface ClientCall {
   req: http.IncomingMessage
   res: http.ServerResponse
@@ -16,43 +16,38 @@
   table: routeTables.CompiledTable
   service: string
   account: string | undefined
-  /** Rank of the client account, null where it has none. */
+  /** Rank of the client account, null without one. */
   accountRank: number | null
   attemptId: string
   body: Buffer
-  /** When the head of the request was here. */
+  /** When the request headers were received. */
   startedAt: number
-  /** When the client no longer waits, or the route's time is over. */
+  /** The earlier of the client deadline and the timeout of the route. */
   deadlineAt: number
-  /** Aborted when nothing is to be gained any more; the reason says why. */
+  /** Aborted when the deadline is over or the client disconnects; the reason says which. */
   aborter: AbortController
   attempts: AttemptRecord[]
-  /** Whether some endpoint may have run the request. */
+  /** Whether an endpoint may have run the request. */
   mayHaveRun: boolean
   firstByteAt: number | undefined
 }
 
-/** What the fleet itself answers. */
+/** Error responses of the entry instance itself. */
 export type Refusal =
-  /** The request did not run and will not: come back after a while. */
+  /** The request did not run; the client may retry it later. */
   | { kind: 'unavailable', why: string, cause: retryAfters.RefusalCause }
-  /** The request itself is at fault. */
+  /** The request is invalid. */
   | { kind: 'rejected', status: 400 | 401 | 404 | 413 | 431, why: string }
-  /** An endpoint may have run the request, but there is no answer. */
+  /** An endpoint may have run the request, but its response was lost. */
   | { kind: 'lost', why: string }
-  /** The time is over; an endpoint may have run the request. */
+  /** The deadline is over; an endpoint may have run the request. */
   | { kind: 'timeout', why: string }
 
-/**
- * Answers a request without an endpoint's answer.
- * @param call the request and where its answer goes
- * @param refusal what is answered
- * @param attemptHeader name of the header that echoes the attempt's id
- */
+/** Sends an error response, or breaks the connection if a response has already started. */
 export function writeRefusal (call: { req: http.IncomingMessage, res: http.ServerResponse, attemptId: string | undefined }, refusal: Refusal, attemptHeader: string): void {
   const { res } = call
   if (res.headersSent || res.destroyed) {
-    // The head of an endpoint's answer is out: only a broken connection shows that the answer is not whole.
+    // The response headers were sent: only a broken connection marks the response as incomplete.
     res.destroy()
     return
   }
@@ -66,11 +61,7 @@
   res.end(body)
 }
 
-/**
- * Gives the status of a refusal.
- * @param refusal what is answered
- * @returns the HTTP status
- */
+/** Returns the HTTP status of a refusal. */
 export function toStatus (refusal: Refusal): number {
   switch (refusal.kind) {
     case 'unavailable': return 503
--- a/packages/forwarding/src/clientResponse.ts
+++ b/packages/forwarding/src/clientResponse.ts
@@ -1,57 +1,43 @@
-/** How a request ends towards its client: with an endpoint's whole answer, or with one of our own. */
+/** Completion of a client request, with the response of an endpoint or with an error response. */
 import * as http from 'node:http'
 import * as clientCalls from './clientCall.js'
 import * as forwardHeaders from './forwardHeaders.js'
 
-/** With less time left than this, no endpoint can answer in time, milliseconds. */
+/** With less time until the deadline, no further attempt is made, in milliseconds. */
 export const MIN_REMAINING_MS = 10
 
-/** An endpoint's answer that is whole. */
+/** A completely received response of an endpoint. */
 export interface BufferedResponse { res: http.IncomingMessage, body: Buffer }
 
-/**
- * Passes a whole answer on.
- * @param call the request
- * @param answer the endpoint's answer
- * @returns the outcome, for the log
- */
-export function sendResponse (call: clientCalls.ClientCall, answer: BufferedResponse): string {
+/** Sends the response of an endpoint to the client and returns the outcome for the log. */
+export function sendResponse (call: clientCalls.ClientCall, response: BufferedResponse): string {
   const { res, ctx } = call
   if (res.destroyed) return 'the client left'
   call.firstByteAt ??= ctx.now()
-  const status = answer.res.statusCode ?? 502
-  const headers = forwardHeaders.toResponseHeaders(answer.res.rawHeaders)
-  if (call.req.method !== 'HEAD' && status !== 204 && status !== 304) headers.push('Content-Length', String(answer.body.length))
+  const status = response.res.statusCode ?? 502
+  const headers = forwardHeaders.toResponseHeaders(response.res.rawHeaders)
+  if (call.req.method !== 'HEAD' && status !== 204 && status !== 304) headers.push('Content-Length', String(response.body.length))
   if (ctx.isDraining()) headers.push('Connection', 'close')
   res.writeHead(status, headers)
-  res.end(answer.body)
+  res.end(response.body)
   return String(status)
 }
 
 /**
- * Ends a request for which nothing more can be tried.
- * @param call the request
- * @param held an endpoint's failure, if there is one to pass on
- * @param why why nothing more can be tried
- * @param delayMs by how much the endpoints begin late, where that is why, milliseconds
- * @returns the outcome, for the log
+ * Completes a request without further attempts, and returns the outcome for the log.
+ * @param delayMs lowest queue delay in milliseconds, if the endpoints are overloaded
  */
-export function sendFailure (call: clientCalls.ClientCall, held: BufferedResponse | undefined, why: string, delayMs?: number): string {
-  if (held !== undefined) return sendResponse(call, held)
+export function sendFailure (call: clientCalls.ClientCall, fallback: BufferedResponse | undefined, why: string, delayMs?: number): string {
+  if (fallback !== undefined) return sendResponse(call, fallback)
   if (call.res.destroyed) return 'the client left'
   const isLate = call.deadlineAt - call.ctx.now() < MIN_REMAINING_MS
   if (call.mayHaveRun) return sendRefusal(call, isLate ? { kind: 'timeout', why } : { kind: 'lost', why })
   if (delayMs !== undefined) return sendRefusal(call, { kind: 'unavailable', why, cause: { kind: 'busy', delayMs } })
-  const isUnreachable = call.ctx.pool.usable(call.service, call.ctx.now()).length === 0
-  return sendRefusal(call, { kind: 'unavailable', why, cause: { kind: isUnreachable ? 'noEndpoint' : 'noRoom' } })
+  const hasNoEndpoint = call.ctx.pool.usable(call.service, call.ctx.now()).length === 0
+  return sendRefusal(call, { kind: 'unavailable', why, cause: { kind: hasNoEndpoint ? 'noEndpoint' : 'noRoom' } })
 }
 
-/**
- * Answers a request without an endpoint's answer.
- * @param call the request
- * @param refusal what is answered
- * @returns the outcome, for the log
- */
+/** Sends an error response and returns the outcome for the log. */
 export function sendRefusal (call: clientCalls.ClientCall, refusal: clientCalls.Refusal): string {
   clientCalls.writeRefusal(call, refusal, call.ctx.names.attemptId)
   return `${clientCalls.toStatus(refusal)} ${refusal.why}`
--- a/packages/forwarding/src/crashQuarantine.ts
+++ b/packages/forwarding/src/crashQuarantine.ts
@@ -1,53 +1,48 @@
 /**
- * Requests that crash the endpoints that run them. A request whose answer broke off is held against it only when its endpoint
- * then turns out to be down: answers also break off for other reasons. After {@link QUARANTINE_CRASHES} crashes the request
- * goes to no endpoint any more, at whichever entry instance it comes in.
+ * Quarantine of requests that crash endpoints. A lost response counts as a crash only if its endpoint is then found to be down. After
+ * {@link QUARANTINE_CRASHES} crashes the request is sent to no further endpoint, by any entry instance.
  */
 import * as contracts from '@kingcupdeck/contracts'
 
-/** News of a request that was running at crashes, as entry instances exchange it. */
+/** Endpoints that crashed while a request was running, as exchanged between entry instances. */
 export interface CrashReport { fingerprint: string, crashed: string[] }
 
-/** The requests under suspicion. */
+/** Requests that are suspected of crashing endpoints. */
 export interface CrashQuarantine {
-  /** Notes that a request was running at an endpoint whose connection broke. */
+  /** Records that the response to a request was lost. */
   recordLoss (fingerprint: string, endpoint: string, now: number): void
-  /** Notes that an endpoint is down. @returns what is news of it, for the other instances */
+  /** Confirms that an endpoint is down. @returns the new crashes, to be sent to the other instances */
   confirmDown (endpoint: string, now: number): CrashReport[]
-  /** Takes what another instance knows. */
-  merge (news: readonly CrashReport[], now: number): void
-  /** @returns whether the request must not reach any endpoint */
+  /** Merges the reports of another instance. */
+  merge (reports: readonly CrashReport[], now: number): void
+  /** Returns whether the request must not be sent to any endpoint. */
   isQuarantined (fingerprint: string, now: number): boolean
 }
 
-/** So many crashed endpoints convict a request: two may be chance when several endpoints are lost at once. */
+/** Crashed endpoints after which a request is quarantined; fewer may coincide with an unrelated outage. */
 export const QUARANTINE_CRASHES = 3
-/** A loss counts as a crash if its endpoint is found down within this time. */
+/** A lost response counts as a crash if its endpoint is found to be down within this time. */
 const CONFIRM_MS = 3000
-const REMEMBER_MS = 120_000
-const MAX_REMEMBERED = 5000
+const RETENTION_MS = 120_000
+const MAX_ENTRIES = 5000
 
-/**
- * Creates the suspects.
- * @returns none yet
- */
 export function createCrashQuarantine (): CrashQuarantine {
   let losses: Array<{ fingerprint: string, endpoint: string, at: number }> = []
-  const known = new Map<string, { crashed: Set<string>, at: number }>()
+  const suspects = new Map<string, { crashed: Set<string>, at: number }>()
 
   const add = (fingerprint: string, endpoint: string, now: number): boolean => {
-    const item = known.get(fingerprint) ?? { crashed: new Set<string>(), at: now }
+    const item = suspects.get(fingerprint) ?? { crashed: new Set<string>(), at: now }
     if (item.crashed.has(endpoint)) return false
     item.crashed.add(endpoint)
     item.at = now
-    known.set(fingerprint, item)
-    if (known.size > MAX_REMEMBERED) known.delete(known.keys().next().value as string)
+    suspects.set(fingerprint, item)
+    if (suspects.size > MAX_ENTRIES) suspects.delete(suspects.keys().next().value as string)
     return true
   }
 
   return {
     recordLoss (fingerprint, endpoint, now) {
-      losses = losses.filter(item => now - item.at < CONFIRM_MS).slice(-MAX_REMEMBERED)
+      losses = losses.filter(item => now - item.at < CONFIRM_MS).slice(-MAX_ENTRIES)
       losses.push({ fingerprint, endpoint, at: now })
     },
     confirmDown (endpoint, now) {
@@ -55,28 +50,24 @@
       losses = losses.filter(item => item.endpoint !== endpoint)
       return confirmed.filter(item => add(item.fingerprint, endpoint, now)).map(item => ({ fingerprint: item.fingerprint, crashed: [endpoint] }))
     },
-    merge (news, now) {
-      for (const item of news) {
+    merge (reports, now) {
+      for (const item of reports) {
         for (const endpoint of item.crashed) add(item.fingerprint, endpoint, now)
       }
     },
     isQuarantined (fingerprint, now) {
-      const item = known.get(fingerprint)
+      const item = suspects.get(fingerprint)
       if (item === undefined) return false
-      if (now - item.at < REMEMBER_MS) return item.crashed.size >= QUARANTINE_CRASHES
-      known.delete(fingerprint)
+      if (now - item.at < RETENTION_MS) return item.crashed.size >= QUARANTINE_CRASHES
+      suspects.delete(fingerprint)
       return false
     }
   }
 }
 
 /**
- * What makes two requests the same one, sent again: caller, method, path and body, not the attempt.
- * @param account client account, or undefined
- * @param method HTTP method
- * @param url path with query
- * @param body the body
- * @returns a short text
+ * Returns a hash that identifies a request across retries: client account, method, path and body.
+ * @param account undefined for a request without a client account
  */
 export function toFingerprint (account: string | undefined, method: string, url: string, body: Uint8Array): string {
   return contracts.sha256(Buffer.concat([Buffer.from(`${account ?? ''}\n${method}\n${url}\n`), body])).slice(0, 24)
--- a/packages/forwarding/src/draining.ts
+++ b/packages/forwarding/src/draining.ts
@@ -1,31 +1,25 @@
 /**
- * Which requests an instance that stops still takes. A decision without input or output.
- *
- * Callers keep addresses for some seconds, so an instance that refused at once would cost each of them a try; one that takes
- * a long stream late must break it off when its grace ends. So all is taken at first, and later only what surely ends in time.
+ * Admission of requests at a draining instance. Clients cache addresses for some seconds, so every request is accepted at first;
+ * later only those that end within the grace period.
  */
 
-/** How far a stop has come, and how long the request may take. */
+/** Progress of the drain, and the maximum duration of a request. */
 export interface DrainProgress {
-  /** Since the stop began, milliseconds. */
+  /** Time since the drain started, in milliseconds. */
   elapsedMs: number
-  /** How long the stop may take, milliseconds. */
+  /** Length of the grace period, in milliseconds. */
   graceMs: number
-  /** How long the request may take at most, milliseconds. */
+  /** Maximum duration of the request, in milliseconds. */
   waitMs: number
 }
 
-/** Share of the grace in which everything is taken: the rest is longer than nearly all streams last. */
-const TAKE_ALL_SHARE = 0.36
-/** So long before the end of the grace the last answers are through. */
+/** Share of the grace period in which every request is accepted. */
+const ACCEPT_ALL_SHARE = 0.36
+/** Time before the end of the grace period at which the last response must be complete. */
 export const DRAIN_END_MARGIN_MS = 500
 
-/**
- * Tells whether a request is still taken.
- * @param req how far the stop has come, and how long the request may take
- * @returns whether it will be answered before the instance ends
- */
+/** Returns whether a request ends before the instance exits. */
 export function isAccepted (req: DrainProgress): boolean {
-  if (req.elapsedMs <= TAKE_ALL_SHARE * req.graceMs) return true
+  if (req.elapsedMs <= ACCEPT_ALL_SHARE * req.graceMs) return true
   return req.elapsedMs + req.waitMs <= req.graceMs - DRAIN_END_MARGIN_MS
 }
--- a/packages/forwarding/src/endpointPool.ts
+++ b/packages/forwarding/src/endpointPool.ts
@@ -1,105 +1,100 @@
 /**
- * The endpoints as this entry instance sees them: what their announcements say, what it has running on them, what
- * the other entry instances report, and which of them failed lately.
+ * Pool of the known endpoints: their announcements, the requests in flight of this and of the other entry instances, and recent
+ * connection failures.
  */
 import * as http from 'node:http'
 import * as discovery from '@kingcupdeck/discovery'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as queueDelays from './queueDelay.js'
 
-/** An endpoint as this instance sees it. */
+/** State of an endpoint at this instance. */
 export interface Endpoint {
   readonly id: string
   record: discovery.EndpointRecord
   agent: http.Agent
-  /** Requests of this instance that run there. */
+  /** Requests in flight of this instance. */
   inFlight: number
-  /** Requests of the other entry instances there, as they told last. */
+  /** Requests in flight of the other entry instances, by their last gossip update. */
   peerInFlight: number
-  /** How long requests of this instance wait there until their answers begin. */
+  /** Queue delay of the requests of this instance. */
   queueDelay: queueDelays.QueueDelayEstimator
-  /** The same as the other entry instances see it, milliseconds; undefined where none said so lately. */
+  /** Queue delay at the other entry instances in milliseconds, undefined without a recent gossip update. */
   peerQueueDelayMs: number | undefined
-  /** Not used before this time, after it could not be reached. */
+  /** Not used before this time, after a connection failure. */
   backoffUntil: number
-  /** Failures to reach it in a row. */
+  /** Consecutive connection failures. */
   failures: number
-  /** The announcement after which it was found that another process has its address. */
+  /** Sequence number of the last announcement before another process was found at its address. */
   misdirectedSeq: number | undefined
 }
 
 /** The endpoints of all services. */
 export interface EndpointPool {
-  /** Takes changed records. */
+  /** Applies changed endpoint records. */
   update (list: readonly discovery.Record[]): void
   get (id: string): Endpoint | undefined
-  /** @returns the endpoints of a service that may get work now */
+  /** Returns the endpoints of a service that can be sent requests now. */
   usable (service: string, now: number): Endpoint[]
-  /** @returns the endpoints of a service whose caches can be reached, also those that leave */
+  /** Returns the reachable endpoints of a service, also leaving ones. */
   reachable (service: string, now: number): Endpoint[]
-  /** @returns all endpoints */
   all (): Endpoint[]
-  /** Notes that an endpoint could not be connected to. */
+  /** Records a connection failure; the endpoint is not used during a backoff period. */
   markUnreachable (endpoint: Endpoint, now: number, why: string): void
-  /** Notes that an endpoint answered. */
+  /** Records a response; ends the backoff period. */
   markReachable (endpoint: Endpoint): void
-  /** Notes that another process answered at the endpoint's address. */
+  /** Records that another process answered at the address of the endpoint; it is not used until its next announcement. */
   markMisdirected (endpoint: Endpoint): void
-  /** Forgets endpoints that the table has forgotten and that have no work. */
+  /** Removes endpoints that are no longer in the record table and have no requests in flight. */
   prune (): void
-  /** Gives up all idle connections to an endpoint, after one of them was found silent or broken. */
+  /** Closes all idle connections to an endpoint, after one of its connections failed. */
   closeIdleConnections (endpoint: Endpoint): void
 }
 
-/** What a pool is built from. */
+/** Options of {@link createEndpointPool}. */
 export interface EndpointPoolOptions {
   table: discovery.RecordTable
-  /** When a control instance with a quorum was last heard: silence counts only up to then. */
+  /** Time of the last message from a control instance with a quorum. */
   currentAt: () => number
-  /** Since when such a one has been heard without a gap. */
+  /** Start of the uninterrupted period of such messages. */
   currentSince: () => number
-  /** An endpoint that was not heard of for this long gets no work, milliseconds. */
+  /** An endpoint without an announcement for this time is unresponsive and not used, in milliseconds. */
   unresponsiveMs: number
   log: telemetry.Log
 }
 
-/** First pause after an endpoint could not be reached; doubled with each further failure. */
-const AVOID_MS = 250
-const AVOID_MOST_MS = 2000
-/** An idle connection is closed after this time, before most endpoints do it themselves. */
-const IDLE_CONNECTION_MS = 4000
-const IDLE_CONNECTIONS = 32
-const KEEP_ALIVE_PROBE_MS = 1000
+/** Initial backoff after a connection failure, doubled with each further failure. */
+const BACKOFF_MS = 250
+const MAX_BACKOFF_MS = 2000
+/** Idle connections are closed after this time, earlier than most endpoints close them. */
+const IDLE_TIMEOUT_MS = 4000
+const MAX_IDLE_CONNECTIONS = 32
+const KEEP_ALIVE_DELAY_MS = 1000
 
-/**
- * Creates a pool.
- * @param opts where records come from
- * @returns the pool, empty until {@link EndpointPool.update}
- */
+/** Creates an empty pool. */
 export function createEndpointPool (opts: EndpointPoolOptions): EndpointPool {
-  const known = new Map<string, Endpoint>()
+  const endpointById = new Map<string, Endpoint>()
 
   const createAgent = (): http.Agent => new http.Agent({
     keepAlive: true,
-    keepAliveMsecs: KEEP_ALIVE_PROBE_MS,
-    maxFreeSockets: IDLE_CONNECTIONS,
+    keepAliveMsecs: KEEP_ALIVE_DELAY_MS,
+    maxFreeSockets: MAX_IDLE_CONNECTIONS,
     scheduling: 'lifo',
-    timeout: IDLE_CONNECTION_MS
+    timeout: IDLE_TIMEOUT_MS
   })
 
-  const take = (record: discovery.EndpointRecord): void => {
-    const held = known.get(record.id)
+  const applyRecord = (record: discovery.EndpointRecord): void => {
+    const known = endpointById.get(record.id)
     if (record.state === 'gone') {
-      if (held !== undefined) retire(held)
-      known.delete(record.id)
+      if (known !== undefined) release(known)
+      endpointById.delete(record.id)
       return
     }
-    if (held !== undefined && held.record.startedAt === record.startedAt && held.record.address === record.address) {
-      held.record = record
+    if (known !== undefined && known.record.startedAt === record.startedAt && known.record.address === record.address) {
+      known.record = record
       return
     }
-    if (held !== undefined) retire(held)
-    known.set(record.id, {
+    if (known !== undefined) release(known)
+    endpointById.set(record.id, {
       id: record.id,
       record,
       agent: createAgent(),
@@ -111,12 +106,11 @@
       failures: 0,
       misdirectedSeq: undefined
     })
-    // A process that was started later at the same address has taken the place of the one before, whose last announcement
-    // may still be under way.
-    for (const other of known.values()) {
+    // A process that started later at the same address has replaced the earlier one, whose last announcement may arrive late.
+    for (const other of endpointById.values()) {
       if (other.id !== record.id && other.record.address === record.address && other.record.startedAt < record.startedAt) {
-        retire(other)
-        known.delete(other.id)
+        release(other)
+        endpointById.delete(other.id)
       }
     }
   }
@@ -126,38 +120,38 @@
     return (opts.table.get(endpoint.id)?.lastSeenSeq ?? 0) <= endpoint.misdirectedSeq
   }
 
-  const isSilent = (endpoint: Endpoint): boolean => {
-    // Guards against an instance that refuses everything when control instances are back after a while: it has heard of no
-    // endpoint for as long, and will only with their next announcements. Silence counts from when there is news again.
+  const isUnresponsive = (endpoint: Endpoint): boolean => {
+    // After an outage of the control instances all announcements are old. The time is counted from when updates resumed, so that not
+    // all endpoints are considered unresponsive.
     const heardAt = Math.max(opts.table.get(endpoint.id)?.lastSeenAt ?? -Infinity, opts.currentSince())
     return opts.currentAt() - heardAt > opts.unresponsiveMs
   }
 
-  const isReachable = (endpoint: Endpoint, now: number): boolean => endpoint.backoffUntil <= now && !isSilent(endpoint)
+  const isReachable = (endpoint: Endpoint, now: number): boolean => endpoint.backoffUntil <= now && !isUnresponsive(endpoint)
 
   return {
     update (list) {
       for (const record of list) {
-        if (record.kind === 'endpoint') take(record)
+        if (record.kind === 'endpoint') applyRecord(record)
       }
     },
-    get: id => known.get(id),
+    get: id => endpointById.get(id),
     usable (service, now) {
-      const ready = [...known.values()].filter(item => item.record.service === service && item.record.state === 'ready' && !isMisdirected(item))
+      const ready = [...endpointById.values()].filter(item => item.record.service === service && item.record.state === 'ready' && !isMisdirected(item))
       const reachable = ready.filter(item => isReachable(item, now))
       if (reachable.length > 0) return reachable
-      // With nothing better, those whose pause is nearly over are tried: each may be back already.
-      return ready.filter(item => item.backoffUntil - now < AVOID_MS && !isSilent(item))
+      // If no endpoint is reachable, those whose backoff is nearly over are used.
+      return ready.filter(item => item.backoffUntil - now < BACKOFF_MS && !isUnresponsive(item))
     },
-    reachable: (service, now) => [...known.values()].filter(item => item.record.service === service && !isMisdirected(item) && isReachable(item, now)),
-    all: () => [...known.values()],
+    reachable: (service, now) => [...endpointById.values()].filter(item => item.record.service === service && !isMisdirected(item) && isReachable(item, now)),
+    all: () => [...endpointById.values()],
     markUnreachable (endpoint, now, why) {
-      // Many attempts find out about one failure together; each further one would double the pause and add a line to the log.
+      // Concurrent attempts report the same failure, which must be counted and logged only once.
       if (endpoint.backoffUntil > now) return
       endpoint.failures++
-      const pauseMs = Math.min(AVOID_MOST_MS, AVOID_MS * 2 ** (endpoint.failures - 1))
-      endpoint.backoffUntil = now + pauseMs
-      opts.log.event('endpointGone', { endpoint: endpoint.id, why, failures: endpoint.failures, pauseMs })
+      const backoffMs = Math.min(MAX_BACKOFF_MS, BACKOFF_MS * 2 ** (endpoint.failures - 1))
+      endpoint.backoffUntil = now + backoffMs
+      opts.log.event('endpointGone', { endpoint: endpoint.id, why, failures: endpoint.failures, pauseMs: backoffMs })
     },
     markReachable (endpoint) {
       endpoint.failures = 0
@@ -165,31 +159,31 @@
     },
     markMisdirected (endpoint) {
       endpoint.misdirectedSeq = opts.table.get(endpoint.id)?.lastSeenSeq ?? endpoint.record.seq
-      retire(endpoint)
+      release(endpoint)
       opts.log.event('endpointGone', { endpoint: endpoint.id, why: 'another process has its address', seq: endpoint.misdirectedSeq })
     },
     prune () {
-      for (const [id, endpoint] of known) {
+      for (const [id, endpoint] of endpointById) {
         if (opts.table.get(id) !== undefined || endpoint.inFlight > 0) continue
-        retire(endpoint)
-        known.delete(id)
+        release(endpoint)
+        endpointById.delete(id)
       }
     },
-    closeIdleConnections: dropIdle
+    closeIdleConnections
   }
 }
 
-function dropIdle (endpoint: Endpoint): void {
+function closeIdleConnections (endpoint: Endpoint): void {
   for (const sockets of Object.values(endpoint.agent.freeSockets)) {
     for (const socket of [...(sockets ?? [])]) socket.destroy()
   }
 }
 
 /**
- * Guards against answers that are cut by us: an endpoint that says that it is gone serves on what it has for a while, so
- * only its idle connections are closed, and those in use when their answer has ended.
+ * Closes the idle connections of a removed endpoint. Those in use stay open until their responses end, because a leaving endpoint
+ * still completes its requests.
  */
-function retire (endpoint: Endpoint): void {
+function release (endpoint: Endpoint): void {
   endpoint.agent.maxFreeSockets = 0
-  dropIdle(endpoint)
+  closeIdleConnections(endpoint)
 }
--- a/packages/forwarding/src/endpointProbe.ts
+++ b/packages/forwarding/src/endpointProbe.ts
@@ -1,23 +1,21 @@
-/** Asks whether an endpoint is down by opening a connection to it, which costs the endpoint next to nothing. */
+/** Probes whether an endpoint is down by opening a TCP connection to it. */
 import * as net from 'node:net'
 import * as links from '@kingcupdeck/links'
 import * as attempts from './attempt.js'
 import type * as endpointPools from './endpointPool.js'
 
-const running = new WeakMap<endpointPools.Endpoint, Promise<string | undefined>>()
+const runningProbes = new WeakMap<endpointPools.Endpoint, Promise<string | undefined>>()
 
 /**
- * Tells whether an endpoint refuses connections. Questions that come while one is open share its answer: a crash breaks many
- * answers at once.
- * @param endpoint the endpoint
- * @returns why it is held to be down, or undefined if it takes connections
+ * Probes an endpoint. Concurrent calls share one probe.
+ * @returns why the endpoint is considered down, or undefined if it accepts connections
  */
 export async function probeEndpoint (endpoint: endpointPools.Endpoint): Promise<string | undefined> {
-  const known = running.get(endpoint)
-  if (known !== undefined) return await known
-  const asked = connect(endpoint.record.address).finally(() => { running.delete(endpoint) })
-  running.set(endpoint, asked)
-  return await asked
+  const current = runningProbes.get(endpoint)
+  if (current !== undefined) return await current
+  const probe = connect(endpoint.record.address).finally(() => { runningProbes.delete(endpoint) })
+  runningProbes.set(endpoint, probe)
+  return await probe
 }
 
 async function connect (address: string): Promise<string | undefined> {
--- a/packages/forwarding/src/entryContext.ts
+++ b/packages/forwarding/src/entryContext.ts
@@ -1,4 +1,4 @@
-/** What the tasks of all requests of an entry instance share. */
+/** State that all requests of an entry instance share. */
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as crashQuarantines from './crashQuarantine.js'
 import * as outlierDetectors from './outlierDetector.js'
@@ -10,7 +10,7 @@
 import * as retryBudgets from './retryBudget.js'
 import * as routeTables from './routeTable.js'
 
-/** What the tasks of all requests of an entry instance share. */
+/** State that all requests of an entry instance share. */
 export interface EntryContext {
   names: headerNames.HeaderNames
   zone: string
@@ -20,19 +20,19 @@
   gossip: loadGossips.Gossip
   metrics: entryMetrics.EntryMetrics
   log: telemetry.Log
-  /** @returns the document in force, or undefined before the first */
+  /** Returns the configuration document in force, or undefined before the first. */
   table: () => routeTables.CompiledTable | undefined
-  /** @returns whether the document in force is known to be the latest */
+  /** Returns whether the document in force is known to be the latest. */
   isLatestDocument: () => boolean
-  /** @returns the newest version of the document that any instance said it holds */
+  /** Returns the newest document version that any instance announced. */
   newestDocument: () => number
-  /** Holds requests until the next document comes. */
+  /** Requests that wait for the next document. */
   documentWaiters: documentWaiters.DocumentWaiters
-  /** @returns the second sends that are left for a service */
+  /** Returns the retry budget of a service. */
   retryBudget: (service: string) => retryBudgets.RetryBudget
-  /** @returns whether this instance was told to stop */
+  /** Returns whether this instance is draining. */
   isDraining: () => boolean
-  /** @returns whether a request that may take so long is still taken */
+  /** Returns whether a request with this maximum duration is accepted. */
   isAccepted: (waitMs: number) => boolean
   now: () => number
 }
--- a/packages/forwarding/src/entryInstance.ts
+++ b/packages/forwarding/src/entryInstance.ts
@@ -1,6 +1,6 @@
 /**
- * An entry instance of the forwarding fleet: takes callers' requests, learns endpoints and documents from control instances,
- * and tells the other entry instances what it has running.
+ * Entry instance of the forwarding fleet: forwards client requests, subscribes to endpoint records and configuration documents of
+ * control instances, and exchanges loads with the other entry instances.
  */
 import * as timers from 'node:timers/promises'
 import type * as contracts from '@kingcupdeck/contracts'
@@ -20,88 +20,86 @@
 import * as routeTables from './routeTable.js'
 import * as draining from './draining.js'
 
-/** What an entry instance is built from. */
+/** Options of {@link startEntryInstance}. */
 export interface EntryInstanceOptions {
   id: string
-  /** Start of this process, Unix milliseconds. */
+  /** Start time of this process, in Unix milliseconds. */
   startedAt: number
   zone: string
   region: string
-  /** IP number and port for callers. */
+  /** IP address and port for clients. */
   front: string
-  /** IP number and port for the other instances. */
+  /** IP address and port for the other instances. */
   inner: string
-  /** Inner addresses of control instances as the settings name them now. */
+  /** Returns the inner addresses of control instances from the current settings. */
   seeds: () => readonly string[]
-  /** What all instances of the fleet must know. */
+  /** Shared secret of the fleet. */
   secret: string
-  /** Whether control instances hand out what they hold before they have started. */
+  /** Whether the document and records are fetched from the handout of a control instance during startup. */
   usesHandouts: boolean
   names: headerNames.HeaderNames
-  /** Reads a document as the operators sent it. @throws Error when it cannot be read */
+  /** Parses a configuration document. @throws Error if it is invalid */
   readDocument: (text: Buffer) => routeTables.RouteTable
   retryBudget: retryBudgets.RetryBudgetOptions
-  /** How often endpoints announce themselves, milliseconds. */
+  /** Interval of endpoint announcements, in milliseconds. */
   announceIntervalMs: number
-  /** How long a stop may take, milliseconds. */
+  /** Grace period of a stop, in milliseconds. */
   graceMs: number
   log: telemetry.Log
-  /** Log lines that were left out so far. */
+  /** Returns the number of log lines dropped so far. */
   droppedLines: () => number
-  /** What this machine's link carries, bytes a millisecond; absent where that is not known. */
+  /** Network bandwidth of this machine in bytes per millisecond, undefined if unknown. */
   linkBytesPerMs?: number
 }
 
 /** A running entry instance. */
 export interface EntryInstance {
   metrics: entryMetrics.EntryMetrics
-  /** @returns whether callers may be sent here */
+  /** Returns whether clients may be directed to this instance. */
   isReady: () => boolean
-  /** @returns addresses that callers of an availability zone may use, none if none is known */
+  /** Returns the addresses for clients of an availability zone. */
   addresses: (zone: string | undefined) => string[]
-  /** Serves what is open and what still comes, then ends. */
+  /** Drains the instance: completes open requests within the grace period, then closes all connections. */
   stop: () => Promise<void>
 }
 
-/** An endpoint is taken for dead after so many announcements that did not come, ... */
-const SILENT_ANNOUNCEMENTS = 4
-/** ... and this much more, for signs of life that travel over two control instances. */
-const SILENT_MARGIN_MS = 2000
-/** An entry instance that was not heard of for this long is not named to callers. */
-const ENTRY_SILENT_MS = 3500
-/** Callers of a zone are sent to its own instances if there are so many: one alone may fail. */
-const ZONE_ENOUGH = 2
-/** So long before the grace ends no further connection is taken: callers have asked for addresses again. */
-const ACCEPT_MARGIN_MS = 1200
-/** So long before the grace ends the process ends by itself. */
+/** Missed announcements after which an endpoint is considered unresponsive. */
+const MISSED_ANNOUNCEMENTS = 4
+/** Added to that time, for announcements that are relayed by two control instances. */
+const ANNOUNCEMENT_MARGIN_MS = 2000
+/** An entry instance without an announcement for this time is not returned to clients. */
+const ENTRY_UNRESPONSIVE_MS = 3500
+/** Minimum number of instances in a zone for its clients to get only their addresses. */
+const MIN_ZONE_INSTANCES = 2
+/** Time before the end of the grace period at which the instance stops listening. */
+const STOP_LISTENING_MARGIN_MS = 1200
+/** Time before the end of the grace period at which open requests are aborted. */
 const EXIT_MARGIN_MS = 400
-/** An entry instance that could not be reached within this time is not named to callers while others are. */
-const PEER_FAILED_MS = 1500
-/** Loads are told five times a second; a peer that cannot be reached is tried again after this. */
-const PEER_PAUSE_MS = 1000
-/** A stopping instance without callers ends after this time: they have all been told of others. */
-const QUIET_MS = 2500
-const LOOK_MS = 50
-/** A machine that has no power or is cut off does not answer; longer than several round trips between zones. */
-const DIAL_MS = 400
+/** An entry instance with a connection failure within this time is returned to clients only if no other is reachable. */
+const PEER_FAILURE_MS = 1500
+/** Backoff after a failed connection to another entry instance. */
+const PEER_BACKOFF_MS = 1000
+/** A draining instance without open requests for this time stops early. */
+const DRAIN_IDLE_MS = 2500
+const DRAIN_POLL_MS = 50
+/** Interval of the removal of expired records. */
+const PRUNE_INTERVAL_MS = 10_000
+/** Connect timeout for links to other instances. */
+const CONNECT_TIMEOUT_MS = 400
 
-/**
- * Starts an entry instance.
- * @param opts its addresses, fleet and names
- * @returns the instance, which is ready once it has a document
- */
+/** Starts an entry instance. */
 export async function startEntryInstance (opts: EntryInstanceOptions): Promise<EntryInstance> {
   const { log } = opts
   const now = (): number => performance.now()
   const table = discovery.createRecordTable()
-  const suspects = crashQuarantines.createCrashQuarantine()
-  const outcomes = outlierDetectors.createOutlierDetector((endpoint, isAside, share) => {
-    log.event('endpointSetAside', { endpoint, isAside, missedShare: Number(share.toFixed(2)) })
+  const quarantine = crashQuarantines.createCrashQuarantine()
+  const outliers = outlierDetectors.createOutlierDetector((endpoint, isEjected, share) => {
+    log.event('endpointSetAside', { endpoint, isAside: isEjected, missedShare: Number(share.toFixed(2)) })
   })
   const metrics = entryMetrics.createEntryMetrics(opts.droppedLines)
-  const nextDocument = documentWaiters.createDocumentWaiters()
+  const waiters = documentWaiters.createDocumentWaiters()
   let document: routeTables.CompiledTable | undefined
-  let stopBeganAt: number | undefined
+  let drainStartedAt: number | undefined
   let seq = 0
   const retryOf = new Map<string, retryBudgets.RetryBudget>()
 
@@ -114,14 +112,14 @@
     region: opts.region,
     front: opts.front,
     inner: opts.inner,
-    state: stopBeganAt !== undefined ? 'leaving' : document === undefined ? 'starting' : 'ready'
+    state: drainStartedAt !== undefined ? 'leaving' : document === undefined ? 'starting' : 'ready'
   })
 
   const handlers: links.LinkHandlers = {
     onEvent (body, link) {
       if ((body as { t?: unknown })?.t === 'peer') {
-        const news = loadGossips.gossipUpdate.safeParse(body)
-        if (news.success) exchange.onUpdate(news.data, link.peer.id)
+        const update = loadGossips.gossipUpdate.safeParse(body)
+        if (update.success) gossip.onUpdate(update.data, link.peer.id)
         return
       }
       const event = discovery.discoveryEvent.safeParse(body)
@@ -131,17 +129,17 @@
   }
   const linkSettings: links.LinkSettings = { identity: { role: 'router', id: opts.inner }, secret: opts.secret, log, handlers }
   const book = links.createPeerLinks(linkSettings)
-  const peers = links.createPeerDialer(book, { dialTimeoutMs: DIAL_MS, backoffMs: PEER_PAUSE_MS })
+  const peers = links.createPeerDialer(book, { dialTimeoutMs: CONNECT_TIMEOUT_MS, backoffMs: PEER_BACKOFF_MS })
 
-  const takeDocument = (taken: contracts.VersionedText, waitedMs: number): void => {
+  const applyDocument = (received: contracts.VersionedText, waitedMs: number): void => {
     try {
-      document = routeTables.compileTable(opts.readDocument(taken.text))
+      document = routeTables.compileTable(opts.readDocument(received.text))
       server.applyLimits(document.limits)
       metrics.documentVersion.set(document.version)
-      nextDocument.releaseAll()
+      waiters.releaseAll()
       log.event('documentInForce', { version: document.version, waitedMs: Math.round(waitedMs), routes: [...document.routesOf.values()].reduce((sum, list) => sum + list.length, 0) })
     } catch (err) {
-      log.event('documentUnreadable', { version: taken.version, detail: err instanceof Error ? err.message : String(err) })
+      log.event('documentUnreadable', { version: received.version, detail: err instanceof Error ? err.message : String(err) })
     }
     if (seq > 0 && document !== undefined && table.get(opts.id)?.record.state !== 'ready') announce()
   }
@@ -155,29 +153,29 @@
     table,
     currentAt: () => subscriber.lastQuorumAt(),
     currentSince: () => subscriber.quorumSince(),
-    unresponsiveMs: SILENT_ANNOUNCEMENTS * opts.announceIntervalMs + SILENT_MARGIN_MS,
+    unresponsiveMs: MISSED_ANNOUNCEMENTS * opts.announceIntervalMs + ANNOUNCEMENT_MARGIN_MS,
     log
   })
 
   const otherEntries = (): discovery.EntryRecord[] => table.entries()
-    .filter(item => item.record.id !== opts.id && item.record.state !== 'gone' && isHeard(item.lastSeenAt))
+    .filter(item => item.record.id !== opts.id && item.record.state !== 'gone' && isResponsive(item.lastSeenAt))
     .map(item => item.record)
 
-  const exchange = loadGossips.startGossip({ peers: otherEntries, connect: peers.get, pool: endpoints, quarantine: suspects, outliers: outcomes, documentVersion: () => subscriber.version(), onDocumentVersion: (address, version) => { subscriber.notePeerVersion(address, version) } })
+  const gossip = loadGossips.startGossip({ peers: otherEntries, connect: peers.get, pool: endpoints, quarantine, outliers, documentVersion: () => subscriber.version(), onDocumentVersion: (address, version) => { subscriber.notePeerVersion(address, version) } })
 
   const ctx: entryContexts.EntryContext = {
     names: opts.names,
     zone: opts.zone,
     pool: endpoints,
-    quarantine: suspects,
-    outliers: outcomes,
-    gossip: exchange,
+    quarantine,
+    outliers,
+    gossip,
     metrics,
     log,
     table: () => document,
     isLatestDocument: () => subscriber.isDocumentLatest(),
     newestDocument: () => subscriber.newestVersion(),
-    documentWaiters: nextDocument,
+    documentWaiters: waiters,
     retryBudget (service) {
       const known = retryOf.get(service)
       if (known !== undefined) return known
@@ -185,8 +183,8 @@
       retryOf.set(service, created)
       return created
     },
-    isDraining: () => stopBeganAt !== undefined,
-    isAccepted: waitMs => stopBeganAt === undefined || draining.isAccepted({ elapsedMs: now() - stopBeganAt, graceMs: opts.graceMs, waitMs }),
+    isDraining: () => drainStartedAt !== undefined,
+    isAccepted: waitMs => drainStartedAt === undefined || draining.isAccepted({ elapsedMs: now() - drainStartedAt, graceMs: opts.graceMs, waitMs }),
     now
   }
 
@@ -195,10 +193,10 @@
   const subscriber = discovery.startSubscriber({
     seeds: opts.seeds,
     table,
-    dial: async address => await links.withTimeout(links.dial(address, linkSettings), DIAL_MS, `no connection to ${address}`),
+    dial: async address => await links.withTimeout(links.dial(address, linkSettings), CONNECT_TIMEOUT_MS, `no connection to ${address}`),
     fetchHandout: opts.usesHandouts ? async address => await discovery.fetchHandout(discovery.toHandoutAddress(address), opts.secret) : undefined,
     self,
-    onDocument: takeDocument,
+    onDocument: applyDocument,
     onRecords: list => { endpoints.update(list) },
     peerAddresses: () => discovery.toShuffled(otherEntries().map(item => item.inner)),
     getPeerLink: peers.get,
@@ -206,42 +204,42 @@
     log
   })
   const pruner = setInterval(() => {
-    // Without news nobody is forgotten: an instance that is cut off from all control instances serves on.
+    // While no control instance is reachable, no record expires, and the instance keeps serving.
     table.prune(subscriber.lastQuorumAt())
     endpoints.prune()
     metrics.subscriptions.set(subscriber.subscriptionCount())
-  }, 10_000)
+  }, PRUNE_INTERVAL_MS)
 
   return {
     metrics,
-    isReady: () => stopBeganAt === undefined && document !== undefined,
+    isReady: () => drainStartedAt === undefined && document !== undefined,
     addresses (zone) {
-      const isSelfReady = stopBeganAt === undefined && document !== undefined
+      const isSelfReady = drainStartedAt === undefined && document !== undefined
       const ready = table.entries()
-        .filter(item => item.record.id === opts.id ? isSelfReady : item.record.state === 'ready' && isHeard(item.lastSeenAt))
+        .filter(item => item.record.id === opts.id ? isSelfReady : item.record.state === 'ready' && isResponsive(item.lastSeenAt))
         .map(item => item.record)
-      const reachable = ready.filter(item => now() - peers.lastFailureAt(item.inner) > PEER_FAILED_MS)
-      const pool = reachable.length > 0 ? reachable : ready
-      const near = pool.filter(item => item.zone === zone)
-      return (near.length >= ZONE_ENOUGH ? near : pool).map(item => item.front)
+      const reachable = ready.filter(item => now() - peers.lastFailureAt(item.inner) > PEER_FAILURE_MS)
+      const candidates = reachable.length > 0 ? reachable : ready
+      const sameZone = candidates.filter(item => item.zone === zone)
+      return (sameZone.length >= MIN_ZONE_INSTANCES ? sameZone : candidates).map(item => item.front)
     },
     async stop () {
-      const beganAt = now()
-      stopBeganAt = beganAt
+      const startedAt = now()
+      drainStartedAt = startedAt
       log.event('stopping', { open: server.openRequests(), connections: server.connections() })
       announce()
-      const elapsed = (): number => now() - beganAt
-      let quietSince = beganAt
-      while (elapsed() < opts.graceMs - ACCEPT_MARGIN_MS) {
-        if (server.openRequests() > 0) quietSince = now()
-        if (now() - quietSince > QUIET_MS) break
-        await timers.setTimeout(LOOK_MS)
+      const elapsed = (): number => now() - startedAt
+      let idleSince = startedAt
+      while (elapsed() < opts.graceMs - STOP_LISTENING_MARGIN_MS) {
+        if (server.openRequests() > 0) idleSince = now()
+        if (now() - idleSince > DRAIN_IDLE_MS) break
+        await timers.setTimeout(DRAIN_POLL_MS)
       }
       server.stopListening()
-      while (server.openRequests() > 0 && elapsed() < opts.graceMs - EXIT_MARGIN_MS) await timers.setTimeout(LOOK_MS)
+      while (server.openRequests() > 0 && elapsed() < opts.graceMs - EXIT_MARGIN_MS) await timers.setTimeout(DRAIN_POLL_MS)
       log.event('stopped', { ms: Math.round(elapsed()), open: server.openRequests() })
       clearInterval(pruner)
-      exchange.stop()
+      gossip.stop()
       subscriber.stop()
       book.close()
       server.destroy()
@@ -249,8 +247,8 @@
     }
   }
 
-  /** Silence counts only up to when a control instance with a quorum was last heard: without news nobody is known to be gone. */
-  function isHeard (heardAt: number): boolean {
-    return subscriber.lastQuorumAt() - Math.max(heardAt, subscriber.quorumSince()) < ENTRY_SILENT_MS
+  /** Measures only time during which a control instance with a quorum was reachable. */
+  function isResponsive (heardAt: number): boolean {
+    return subscriber.lastQuorumAt() - Math.max(heardAt, subscriber.quorumSince()) < ENTRY_UNRESPONSIVE_MS
   }
 }
--- a/packages/forwarding/src/entryMetrics.ts
+++ b/packages/forwarding/src/entryMetrics.ts
@@ -1,17 +1,16 @@
-/** The metrics of an entry instance of the forwarding fleet. */
+/** Prometheus metrics of an entry instance. */
 import * as prom from 'prom-client'
 import * as telemetry from '@kingcupdeck/telemetry'
 
-const SECONDS = [0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1, 2, 4, 8, 15]
+const DURATION_BUCKETS_S = [0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1, 2, 4, 8, 15]
 const MAX_ACCOUNT_LABELS = 100
 const MAX_ROUTE_LABELS = 100
 
-/** The metrics of an entry instance. */
 export interface EntryMetrics {
   registry: prom.Registry
-  /** From the request to the head of its answer. */
+  /** Time from the request to the response headers. */
   firstByte: prom.Histogram<'account' | 'route'>
-  /** From the request to its end. */
+  /** Time from the request to its end. */
   duration: prom.Histogram<'account' | 'route'>
   requests: prom.Counter<'route' | 'outcome'>
   attempts: prom.Counter<'service' | 'outcome'>
@@ -23,18 +22,14 @@
   toRouteLabel: (route: string) => string
 }
 
-/**
- * Creates the metrics.
- * @param droppedLines log lines that were left out so far
- * @returns the metrics and their registry
- */
+/** Creates the metrics. */
 export function createEntryMetrics (droppedLines: () => number = () => 0): EntryMetrics {
   const registry = new prom.Registry()
   const registers = [registry]
   return {
     registry,
-    firstByte: new prom.Histogram({ name: 'kingcupdeck_forward_first_byte_seconds', help: 'From the request to the head of its answer, per client account and route', labelNames: ['account', 'route'], buckets: SECONDS, registers }),
-    duration: new prom.Histogram({ name: 'kingcupdeck_forward_seconds', help: 'From the request to its end, per client account and route', labelNames: ['account', 'route'], buckets: SECONDS, registers }),
+    firstByte: new prom.Histogram({ name: 'kingcupdeck_forward_first_byte_seconds', help: 'From the request to the head of its answer, per client account and route', labelNames: ['account', 'route'], buckets: DURATION_BUCKETS_S, registers }),
+    duration: new prom.Histogram({ name: 'kingcupdeck_forward_seconds', help: 'From the request to its end, per client account and route', labelNames: ['account', 'route'], buckets: DURATION_BUCKETS_S, registers }),
     requests: new prom.Counter({ name: 'kingcupdeck_forward_requests_total', help: 'Requests by route and outcome', labelNames: ['route', 'outcome'], registers }),
     attempts: new prom.Counter({ name: 'kingcupdeck_forward_attempts_total', help: 'Sends to endpoints by service and outcome', labelNames: ['service', 'outcome'], registers }),
     open: new prom.Gauge({ name: 'kingcupdeck_forward_open', help: 'Requests that run now', registers }),
--- a/packages/forwarding/src/entryServer.ts
+++ b/packages/forwarding/src/entryServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of an entry instance towards callers: limits of what they send, one task for each request. */
+/** HTTP server for clients: enforces their limits and forwards each admitted request. */
 import * as http from 'node:http'
 import * as net from 'node:net'
 import * as timers from 'node:timers/promises'
@@ -10,46 +10,42 @@
 import * as forwards from './forward.js'
 import * as routeTables from './routeTable.js'
 
-/** The server towards callers. */
+/** HTTP server for clients. */
 export interface EntryServer {
-  /** Takes up the limits of the document in force. */
+  /** Applies the limits of the document in force. */
   applyLimits (limits: routeTables.ClientLimits): void
-  /** IP number and port that it listens on. */
+  /** IP address and port that the server listens on. */
   readonly address: string
-  /** @returns requests that are not answered yet */
+  /** Number of requests without a complete response. */
   openRequests (): number
-  /** @returns connections of callers */
+  /** Number of client connections. */
   connections (): number
-  /** Takes no further connections and closes idle ones. */
+  /** Stops accepting connections and closes idle ones. */
   stopListening (): void
-  /** Breaks all connections. */
+  /** Destroys all connections. */
   destroy (): void
 }
 
-/** What the server is built from. */
+/** Options of {@link startEntryServer}. */
 export interface EntryServerOptions {
-  /** IP number and port for callers. */
+  /** IP address and port for clients. */
   front: string
   ctx: entryContexts.EntryContext
 }
 
-/** The document that a request was looked at with, if there is one, and what came of it. */
-type Admitted = { table: undefined, seen?: undefined } | { table: routeTables.CompiledTable, seen: admission.Admission }
+/** The document that a request was checked against, and the result of the check. */
+type Admitted = { table: undefined, result?: undefined } | { table: routeTables.CompiledTable, result: admission.Admission }
 
-/** Headers beyond this are refused by the parser itself; the document's limit, which is lower, is checked after it. */
+/** Header limit of the HTTP parser; the limit of the document is checked after parsing. */
 const PARSER_HEADER_BYTES = 64 * 1024
-/** How often the parser looks for clients that take too long. */
+/** Interval of the checks for clients that exceed a timeout. */
 const CHECK_MS = 500
-/** Turns of the event loop after which what had come on a connection behind a request is read: the rest of this one, and the next. */
+/** Turns of the event loop after which data that arrived together with a request was read. */
 const READ_TURNS = 2
-/** Added to the time an idle connection is kept: the client's clock runs from when it got the last byte. */
+/** Added to the idle timeout, because the client measures it from the receipt of the last byte. */
 const IDLE_MARGIN_MS = 1500
 
-/**
- * Starts the server.
- * @param opts address and what requests share
- * @returns the server, listening
- */
+/** Starts the server. */
 export async function startEntryServer (opts: EntryServerOptions): Promise<EntryServer> {
   const { ctx } = opts
   const sockets = new Set<net.Socket>()
@@ -64,7 +60,7 @@
   }, (req, res) => {
     open++
     serve(req, res).catch(err => {
-      // One request must not take the process down; its connection shows that there is no whole answer.
+      // An error in one request must not end the process; the broken connection marks the response as incomplete.
       ctx.log.event('uncaught', { step: 'request', detail: err instanceof Error ? err.stack ?? err.message : String(err) })
       res.destroy()
     }).finally(() => { open-- })
@@ -80,74 +76,74 @@
     }
     res.on('error', () => {})
     if (ctx.isDraining()) res.setHeader('Connection', 'close')
-    const { table, seen } = await admit(req, res)
+    const { table, result } = await admit(req, res)
     if (res.destroyed) return
     if (table === undefined) {
-      refuse({ kind: 'unavailable', why: 'this instance has no document yet', cause: { kind: 'starting', uptimeMs: ctx.now() } })
+      refuse({ kind: 'unavailable', why: 'this instance has no configuration document yet', cause: { kind: 'starting', uptimeMs: ctx.now() } })
       return
     }
-    if (seen.kind === 'refused') {
-      refuse(seen.refusal)
+    if (result.kind === 'refused') {
+      refuse(result.refusal)
       return
     }
-    if (!ctx.isAccepted(Math.min(seen.route.timeoutMs, seen.clientDeadlineMs ?? Infinity))) {
+    if (!ctx.isAccepted(Math.min(result.route.timeoutMs, result.clientDeadlineMs ?? Infinity))) {
       refuse({ kind: 'unavailable', why: 'this instance is stopping', cause: { kind: 'stopping' } })
       return
     }
     const body = await readBody(req, table.limits.maxBodyBytes)
     switch (body.kind) {
       case 'tooLarge':
-        refuse({ kind: 'rejected', status: 413, why: `the body is larger than ${table.limits.maxBodyBytes} bytes: send less` })
+        refuse({ kind: 'rejected', status: 413, why: `the body is larger than ${table.limits.maxBodyBytes} bytes: send a smaller one` })
         return
       case 'broken':
         res.destroy()
         return
-      case 'whole':
-        // Guards against work for clients that left before their request was read, as when a burst meets a restart: the end of the
-        // connection is there already, but is read in the turn of the event loop after this one.
+      case 'complete':
+        // The client may have disconnected before its request was read; the end of the connection is then read in a later turn of the
+        // event loop. Such a request must not be forwarded.
         for (let turn = 0; turn < READ_TURNS; turn++) await timers.setImmediate()
         if (res.destroyed || res.socket?.readableEnded !== false) {
           ctx.log.event('requestRefused', { request: attemptId, status: 0, why: 'the client left before its request was read', path: req.url?.slice(0, 80), document: table.version })
           return
         }
-        await run(req, res, startedAt, table, seen, body.body)
+        await run(req, res, startedAt, table, result, body.body)
     }
   }
 
   /**
-   * Looks at the head of a request by the document in force. Guards against a request that is refused for good by an instance that
-   * is behind, as after a partition: a path or a key that is not known counts as unknown only where the document is the latest.
+   * Checks a request against the document in force. An unknown route or key is rejected permanently only if the document is known to
+   * be the latest; otherwise the request waits for a newer one, or is rejected as retryable.
    */
   const admit = async (req: http.IncomingMessage, res: http.ServerResponse): Promise<Admitted> => {
     const table = ctx.table() ?? await waitForTable(req, res, false)
     if (table === undefined) return { table }
-    const seen = look(req, table)
-    if (!isDoubtful(seen)) return { table, seen }
+    const result = check(req, table)
+    if (!isUncertain(result)) return { table, result }
     const next = await waitForTable(req, res, true) ?? table
-    const seenNext = look(req, next)
-    if (!isDoubtful(seenNext)) return { table: next, seen: seenNext }
+    const nextResult = check(req, next)
+    if (!isUncertain(nextResult)) return { table: next, result: nextResult }
     const newest = ctx.newestDocument()
-    const doubt = newest > next.version ? `version ${newest} is not here yet` : 'no control instance with a quorum was heard lately'
-    const why = `version ${next.version} does not know this path or key, and ${doubt}`
-    return { table: next, seen: { kind: 'refused', refusal: { kind: 'unavailable', why, cause: { kind: 'outdated' } } } }
+    const cause = newest > next.version ? `version ${newest} is not available yet` : 'no control instance with a quorum is reachable'
+    const why = `document version ${next.version} does not contain this route or key, and ${cause}`
+    return { table: next, result: { kind: 'refused', refusal: { kind: 'unavailable', why, cause: { kind: 'outdated' } } } }
   }
 
-  const look = (req: http.IncomingMessage, table: routeTables.CompiledTable): admission.Admission => {
+  const check = (req: http.IncomingMessage, table: routeTables.CompiledTable): admission.Admission => {
     return admission.admit({ method: req.method ?? '', url: req.url ?? '', host: req.headers.host, rawHeaders: req.rawHeaders }, table, ctx.names)
   }
 
-  const isDoubtful = (seen: admission.Admission): boolean => seen.kind === 'refused' && admission.dependsOnDocument(seen.refusal) && !ctx.isLatestDocument()
+  const isUncertain = (result: admission.Admission): boolean => result.kind === 'refused' && admission.dependsOnDocument(result.refusal) && !ctx.isLatestDocument()
 
   const waitForTable = async (req: http.IncomingMessage, res: http.ServerResponse, isForNewer: boolean): Promise<routeTables.CompiledTable | undefined> => {
-    const clientMs = admission.toClientDeadlineMs(req.rawHeaders, ctx.names)
-    const holdMs = documentWaiters.toDocumentWaitMs(clientMs, ctx.documentWaiters.count(), isForNewer)
-    if (holdMs > 0) await ctx.documentWaiters.wait(holdMs, run => res.once('close', run))
+    const clientDeadlineMs = admission.toClientDeadlineMs(req.rawHeaders, ctx.names)
+    const waitMs = documentWaiters.toDocumentWaitMs(clientDeadlineMs, ctx.documentWaiters.count(), isForNewer)
+    if (waitMs > 0) await ctx.documentWaiters.wait(waitMs, run => res.once('close', run))
     return ctx.table()
   }
 
-  const run = async (req: http.IncomingMessage, res: http.ServerResponse, startedAt: number, table: routeTables.CompiledTable, seen: Extract<admission.Admission, { kind: 'admitted' }>, body: Buffer): Promise<void> => {
-    const { route, account } = seen
-    const waitMs = Math.min(route.timeoutMs, seen.clientDeadlineMs ?? Infinity)
+  const run = async (req: http.IncomingMessage, res: http.ServerResponse, startedAt: number, table: routeTables.CompiledTable, result: Extract<admission.Admission, { kind: 'admitted' }>, body: Buffer): Promise<void> => {
+    const { route, account } = result
+    const waitMs = Math.min(route.timeoutMs, result.clientDeadlineMs ?? Infinity)
     const call: clientCalls.ClientCall = {
       req,
       res,
@@ -157,7 +153,7 @@
       service: routeTables.pickService(route, Math.random()),
       account: account?.name,
       accountRank: account?.rank ?? null,
-      attemptId: seen.attemptId,
+      attemptId: result.attemptId,
       body,
       startedAt,
       deadlineAt: startedAt + waitMs,
@@ -166,9 +162,9 @@
       mayHaveRun: false,
       firstByteAt: undefined
     }
-    const timer = setTimeout(() => { call.aborter.abort('the time is over') }, Math.max(0, call.deadlineAt - ctx.now()))
+    const timer = setTimeout(() => { call.aborter.abort('the deadline has passed') }, Math.max(0, call.deadlineAt - ctx.now()))
     const onClose = (): void => {
-      // What may run only once is left to run to its end: breaking it off half-way helps nobody.
+      // A request that may run only once is not aborted, because it cannot be retried.
       if (!res.writableFinished && route.kind !== 'once') call.aborter.abort('the client left')
     }
     res.on('close', onClose)
@@ -187,7 +183,7 @@
     sockets.add(socket)
     socket.on('close', () => sockets.delete(socket))
   })
-  server.on('clientError', (err: NodeJS.ErrnoException, socket: net.Socket) => { answerBroken(err, socket, ctx) })
+  server.on('clientError', (err: NodeJS.ErrnoException, socket: net.Socket) => { onClientError(err, socket, ctx) })
   server.on('dropRequest', (req, socket) => { socket.destroy() })
   const { host, port } = links.parseAddress(opts.front)
   await new Promise<void>((resolve, reject) => {
@@ -213,7 +209,7 @@
   }
 }
 
-type RequestBody = { kind: 'whole', body: Buffer } | { kind: 'tooLarge' } | { kind: 'broken' }
+type RequestBody = { kind: 'complete', body: Buffer } | { kind: 'tooLarge' } | { kind: 'broken' }
 
 async function readBody (req: http.IncomingMessage, maxBytes: number): Promise<RequestBody> {
   if (Number(req.headers['content-length'] ?? 0) > maxBytes) return { kind: 'tooLarge' }
@@ -229,16 +225,16 @@
       }
       chunks.push(chunk)
     })
-    req.on('end', () => { resolve({ kind: 'whole', body: Buffer.concat(chunks, bytes) }) })
-    // The client broke off while it sent: there is nobody to answer.
+    req.on('end', () => { resolve({ kind: 'complete', body: Buffer.concat(chunks, bytes) }) })
+    // The client disconnected while sending: no response is possible.
     req.on('error', () => { resolve({ kind: 'broken' }) })
     req.on('close', () => { resolve({ kind: 'broken' }) })
   })
 }
 
-/** Answers what is no request, unless an answer is under way on the connection: then only its end can be told. */
-function answerBroken (err: NodeJS.ErrnoException, socket: net.Socket, ctx: entryContexts.EntryContext): void {
-  const status = toBrokenStatus(err.code)
+/** Responds to a malformed request, or closes the connection if a response is in progress on it. */
+function onClientError (err: NodeJS.ErrnoException, socket: net.Socket, ctx: entryContexts.EntryContext): void {
+  const status = toClientErrorStatus(err.code)
   const isBusy = (socket as net.Socket & { _httpMessage?: unknown })._httpMessage != null
   if (err.code !== 'ECONNRESET') ctx.log.event('requestRefused', { status, why: err.code ?? err.message, isBusy })
   if (!socket.writable || isBusy || err.code === 'ECONNRESET') {
@@ -248,7 +244,7 @@
   socket.end(`HTTP/1.1 ${status} ${http.STATUS_CODES[status] ?? ''}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`)
 }
 
-function toBrokenStatus (code: string | undefined): number {
+function toClientErrorStatus (code: string | undefined): number {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW': return 431
     case 'ERR_HTTP_REQUEST_TIMEOUT': return 408
--- a/packages/forwarding/src/eventStream.ts
+++ b/packages/forwarding/src/eventStream.ts
@@ -1,13 +1,12 @@
-/** Cuts an event stream into whole events, so that nothing is passed on of one that its endpoint did not finish. */
+/** Splits an event stream into complete events. */
 
-/** A whole event: its bytes with the blank line, and its id if it has one. */
+/** A complete event: its bytes including the blank line, and its id. */
 export interface StreamEvent { bytes: Buffer, id: string | undefined }
 
-/** Cuts bytes into events. */
 export interface EventSplitter {
-  /** Takes bytes. @returns the events that are whole now */
+  /** Adds bytes. @returns the events that are complete now */
   push (chunk: Buffer): StreamEvent[]
-  /** @returns how many bytes of an unfinished event are held */
+  /** Number of buffered bytes of an incomplete event. */
   pendingBytes (): number
 }
 
@@ -15,15 +14,11 @@
 const CR = 13
 const ID_LINE = /(?:^|\n)id:[ ]?([^\r\n]*)/
 
-/**
- * Creates a splitter.
- * @returns the splitter
- */
 export function createEventSplitter (): EventSplitter {
-  let rest: Buffer = Buffer.alloc(0)
+  let pending: Buffer = Buffer.alloc(0)
   return {
     push (chunk) {
-      const all = rest.length === 0 ? chunk : Buffer.concat([rest, chunk])
+      const all = pending.length === 0 ? chunk : Buffer.concat([pending, chunk])
       const events: StreamEvent[] = []
       let from = 0
       let end = findEnd(all, from)
@@ -33,14 +28,14 @@
         from = end
         end = findEnd(all, from)
       }
-      rest = all.subarray(from)
+      pending = all.subarray(from)
       return events
     },
-    pendingBytes: () => rest.length
+    pendingBytes: () => pending.length
   }
 }
 
-/** @returns the index behind the blank line that ends the event, or 0 if there is none yet */
+/** Returns the index after the blank line that ends the event, or 0 if the event is incomplete. */
 function findEnd (bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LF, from); at >= 0; at = bytes.indexOf(LF, at + 1)) {
     if (bytes[at + 1] === LF) return at + 2
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -1,7 +1,6 @@
 /**
- * Sends a request to endpoints until one answers or nothing more may be tried, and passes the answer on. What may be tried
- * again follows from what is known of each send: a request that may run only once is never sent again after an endpoint may
- * have begun to run it, and "not run" is said only when no endpoint did.
+ * Sends a request to endpoints until one responds or no further attempt is allowed, and relays the response. A request that may run
+ * only once is never retried after an endpoint may have started to run it, and is reported as not run only if no endpoint ran it.
  */
 import * as clientResponses from './clientResponse.js'
 import * as attempts from './attempt.js'
@@ -18,37 +17,33 @@
 import * as attemptWatchdogs from './attemptWatchdog.js'
 import * as priorities from './priority.js'
 
-/** An idempotent request that is not answered within this share of its time is tried elsewhere ... */
-const PATIENCE_SHARE = 0.4
-/** ... and one that is answered by a stream after this multiple of its target. */
-const STREAM_PATIENCE = 2
-const MAX_WHOLE_BYTES = 8 * 1024 * 1024
+/** Response timeout of a retryable attempt, as a share of the remaining time. */
+const RESPONSE_TIMEOUT_SHARE = 0.4
+/** Response timeout of a retryable stream attempt, as a multiple of the target latency. */
+const STREAM_TIMEOUT_TARGETS = 2
+const MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 
-/** What follows an attempt. */
+/** Next step after an attempt. */
 type Next =
-  /** Another endpoint may be tried. */
-  | { kind: 'another' }
-  /** Nothing more may be tried; where the endpoints begin late, by how much. */
-  | { kind: 'giveUp', why: string, delayMs?: number }
-  /** The client has its answer, or has left. */
-  | { kind: 'ended', outcome: string }
+  /** Try another endpoint. */
+  | { kind: 'retry' }
+  /** Fail the request; `delayMs` is the lowest queue delay if the endpoints are overloaded. */
+  | { kind: 'fail', why: string, delayMs?: number }
+  /** The response was sent, or the client disconnected. */
+  | { kind: 'done', outcome: string }
 
 /** One attempt at an endpoint. */
 interface Attempt {
   call: clientCalls.ClientCall
-  course: requestStates.RequestState
-  picked: selectEndpoints.SelectedEndpoint
+  state: requestStates.RequestState
+  selected: selectEndpoints.SelectedEndpoint
   sentAt: number
-  leftMs: number
-  /** Whether another endpoint may run the request if this one fails. */
+  remainingMs: number
+  /** Whether another endpoint may run the request if this attempt fails. */
   mayRunAgain: boolean
 }
 
-/**
- * Serves one admitted request.
- * @param call the request
- * @returns the outcome, for the log
- */
+/** Forwards an admitted request and returns the outcome for the log. */
 export async function forward (call: clientCalls.ClientCall): Promise<string> {
   const { ctx } = call
   const fingerprint = crashQuarantines.toFingerprint(call.account, call.req.method ?? '', call.req.url ?? '', call.body)
@@ -56,127 +51,127 @@
     return clientResponses.sendRefusal(call, { kind: 'unavailable', why: 'this request crashed the endpoints that ran it', cause: { kind: 'quarantined' } })
   }
   ctx.retryBudget(call.service).recordRequest(ctx.now())
-  const course = requestStates.createRequestState(fingerprint)
+  const state = requestStates.createRequestState(fingerprint)
   while (true) {
-    const next = await tryOne(call, course)
+    const next = await attemptOnce(call, state)
     switch (next.kind) {
-      case 'ended': return next.outcome
-      case 'giveUp': return clientResponses.sendFailure(call, course.fallback, next.why, next.delayMs)
-      case 'another':
-        if (course.sends >= selectEndpoints.MAX_SENDS) return clientResponses.sendFailure(call, course.fallback, 'no endpoint had room')
+      case 'done': return next.outcome
+      case 'fail': return clientResponses.sendFailure(call, state.fallback, next.why, next.delayMs)
+      case 'retry':
+        if (state.sends >= selectEndpoints.MAX_SENDS) return clientResponses.sendFailure(call, state.fallback, 'no endpoint accepted the request')
     }
   }
 }
 
-/** Chooses an endpoint and sends the request there. */
-async function tryOne (call: clientCalls.ClientCall, course: requestStates.RequestState): Promise<Next> {
+/** Selects an endpoint and makes one attempt. */
+async function attemptOnce (call: clientCalls.ClientCall, state: requestStates.RequestState): Promise<Next> {
   const { ctx, route } = call
-  if (!requestStates.mayRun(route, course.runs)) return { kind: 'giveUp', why: 'no further attempt is allowed' }
-  const leftMs = call.deadlineAt - ctx.now()
-  if (call.aborter.signal.aborted || leftMs < clientResponses.MIN_REMAINING_MS) return { kind: 'giveUp', why: 'the time is over' }
-  const picked = selectEndpoints.selectEndpoint(call, course.tried, toDelayLimitMs(call))
-  if (picked.kind === 'busy') return { kind: 'giveUp', why: `the endpoints begin ${Math.round(picked.delayMs)} ms late`, delayMs: picked.delayMs }
-  if (picked.kind === 'none') return { kind: 'giveUp', why: course.tried.size === 0 ? 'no endpoint of the service is known' : 'no further endpoint can be reached' }
-  // The first offer is free; each further one is paid for, or an outage of some endpoints would overload the others.
-  if (course.sends > 0 && !ctx.retryBudget(call.service).trySpend(ctx.now(), ctx.gossip.instanceCount())) return { kind: 'giveUp', why: 'the budget of retries is used up' }
-  const { endpoint } = picked
-  course.tried.add(endpoint.id)
+  if (!requestStates.mayRun(route, state.runs)) return { kind: 'fail', why: 'no further attempt is allowed' }
+  const remainingMs = call.deadlineAt - ctx.now()
+  if (call.aborter.signal.aborted || remainingMs < clientResponses.MIN_REMAINING_MS) return { kind: 'fail', why: 'the deadline has passed' }
+  const selected = selectEndpoints.selectEndpoint(call, state.tried, toDelayLimitMs(call))
+  if (selected.kind === 'busy') return { kind: 'fail', why: `the endpoints are overloaded, the queue delay is ${Math.round(selected.delayMs)} ms`, delayMs: selected.delayMs }
+  if (selected.kind === 'none') return { kind: 'fail', why: state.tried.size === 0 ? 'the service has no known endpoint' : 'no further endpoint is available' }
+  // Every send after the first one is charged to the retry budget.
+  if (state.sends > 0 && !ctx.retryBudget(call.service).trySpend(ctx.now(), ctx.gossip.instanceCount())) return { kind: 'fail', why: 'the retry budget is exhausted' }
+  const { endpoint } = selected
+  state.tried.add(endpoint.id)
   endpoint.inFlight++
   try {
-    return await runAttempt({ call, course, picked, leftMs, sentAt: ctx.now(), mayRunAgain: requestStates.mayRun(route, course.runs + 1) })
+    return await runAttempt({ call, state, selected, remainingMs, sentAt: ctx.now(), mayRunAgain: requestStates.mayRun(route, state.runs + 1) })
   } finally {
     endpoint.inFlight--
   }
 }
 
 async function runAttempt (attempt: Attempt): Promise<Next> {
-  const { call, course, picked: { endpoint } } = attempt
-  const sent = await send(attempt)
-  attemptRecorders.recordResult(call, course, endpoint, sent, attempt.sentAt)
-  switch (sent.kind) {
+  const { call, state, selected: { endpoint } } = attempt
+  const result = await send(attempt)
+  attemptRecorders.recordResult(call, state, endpoint, result, attempt.sentAt)
+  switch (result.kind) {
     case 'unreachable':
-      note(attempt, `unreachable: ${sent.why}`)
-      return call.aborter.signal.aborted ? { kind: 'giveUp', why: 'the client left' } : { kind: 'another' }
+      record(attempt, `unreachable: ${result.why}`)
+      return call.aborter.signal.aborted ? { kind: 'fail', why: 'the client left' } : { kind: 'retry' }
     case 'notRun':
-      note(attempt, `notRun ${sent.status}`)
-      return { kind: 'another' }
+      record(attempt, `notRun ${result.status}`)
+      return { kind: 'retry' }
     case 'lost':
-      note(attempt, `lost: ${sent.why}`)
-      return afterLoss(attempt, sent.why)
-    case 'answer':
-      return outgoingRequests.isEventStream(sent.res) ? await passStream(attempt, sent) : await passWhole(attempt, sent)
+      record(attempt, `lost: ${result.why}`)
+      return afterLoss(attempt, result.why)
+    case 'response':
+      return outgoingRequests.isEventStream(result.res) ? await forwardStream(attempt, result) : await forwardBuffered(attempt, result)
   }
 }
 
-/** Sends the request and waits for the head of an answer, as long as that is worth it. */
+/** Sends the request and waits for the response headers. */
 async function send (attempt: Attempt): Promise<attempts.AttemptResult> {
-  const { call, course, picked, leftMs, sentAt, mayRunAgain } = attempt
+  const { call, state, selected, remainingMs, sentAt, mayRunAgain } = attempt
   const { ctx, route } = call
-  const { endpoint } = picked
-  const wait = endpoint.queueDelay.onSent(sentAt)
+  const { endpoint } = selected
+  const pending = endpoint.queueDelay.onSent(sentAt)
   const down = new AbortController()
-  const unwatch = attemptWatchdogs.startWatchdog(endpoint, attemptWatchdogs.toProbeDelayMs(route.targetMs), why => {
+  const stopWatchdog = attemptWatchdogs.startWatchdog(endpoint, attemptWatchdogs.toProbeDelayMs(route.targetMs), why => {
     attemptRecorders.recordUnreachable(call, endpoint, why)
-    // What may run only once stays where it is: the endpoint may take no connections and still answer on this one.
+    // An attempt that cannot be retried continues: the endpoint may still respond on its open connection.
     if (mayRunAgain) down.abort(why)
   })
-  const sent = await attempts.sendAttempt({
+  const result = await attempts.sendAttempt({
     endpoint,
-    request: outgoingRequests.toOutgoingRequest(call, picked, leftMs, undefined),
+    request: outgoingRequests.toOutgoingRequest(call, selected, remainingMs, undefined),
     names: ctx.names,
     signal: AbortSignal.any([call.aborter.signal, down.signal]),
-    responseTimeoutMs: mayRunAgain ? toPatience(call, leftMs) : leftMs,
-    mayKeepWaiting: () => ctx.now() < call.deadlineAt && isQueued(call, course.tried, endpoint, wait)
-  }).finally(unwatch)
-  if (sent.kind === 'answer') endpoint.queueDelay.onResponse(wait, ctx.now())
-  else endpoint.queueDelay.onAbandoned(wait)
-  return sent
+    responseTimeoutMs: mayRunAgain ? toResponseTimeoutMs(call, remainingMs) : remainingMs,
+    mayKeepWaiting: () => ctx.now() < call.deadlineAt && isQueued(call, state.tried, endpoint, pending)
+  }).finally(stopWatchdog)
+  if (result.kind === 'response') endpoint.queueDelay.onResponse(pending, ctx.now())
+  else endpoint.queueDelay.onAbandoned(pending)
+  return result
 }
 
-/** Passes a stream on, and its rest from elsewhere if it breaks off. */
-async function passStream (attempt: Attempt, sent: relayStreams.OpenResponse): Promise<Next> {
-  const { call, course, picked: { endpoint } } = attempt
+/** Relays an event stream, and resumes it at another endpoint if it breaks off. */
+async function forwardStream (attempt: Attempt, result: relayStreams.OpenResponse): Promise<Next> {
+  const { call, state, selected: { endpoint } } = attempt
   call.firstByteAt = call.ctx.now()
   attemptRecorders.recordOutcome(call, endpoint, isLate(attempt))
   const relayed = await relayStreams.relayStream(call, {
-    response: sent,
+    response: result,
     endpoint,
     resume: async (lastId, broken) => {
-      attemptRecorders.recordBrokenResponse(call, broken, course.fingerprint)
-      return await resumeStreams.resumeStream(call, course, lastId)
+      attemptRecorders.recordBrokenResponse(call, broken, state.fingerprint)
+      return await resumeStreams.resumeStream(call, state, lastId)
     }
   })
-  note(attempt, relayed.outcome)
-  return relayed.kind === 'unstarted' ? afterLoss(attempt, relayed.outcome) : { kind: 'ended', outcome: relayed.outcome }
+  record(attempt, relayed.outcome)
+  return relayed.kind === 'unstarted' ? afterLoss(attempt, relayed.outcome) : { kind: 'done', outcome: relayed.outcome }
 }
 
-/** Reads an answer that is no stream and passes it on once it is whole. */
-async function passWhole (attempt: Attempt, sent: relayStreams.OpenResponse): Promise<Next> {
-  const { call, course, picked: { endpoint } } = attempt
-  const whole = await attempts.readBody(sent, call.aborter.signal, MAX_WHOLE_BYTES)
-  if (whole.kind === 'broken') {
-    note(attempt, `lost: ${whole.why}`)
-    attemptRecorders.recordBrokenResponse(call, endpoint, course.fingerprint)
-    return afterLoss(attempt, whole.why)
+/** Buffers a response and sends it to the client once it is complete. */
+async function forwardBuffered (attempt: Attempt, result: relayStreams.OpenResponse): Promise<Next> {
+  const { call, state, selected: { endpoint } } = attempt
+  const buffered = await attempts.readBody(result, call.aborter.signal, MAX_BUFFERED_BYTES)
+  if (buffered.kind === 'broken') {
+    record(attempt, `lost: ${buffered.why}`)
+    attemptRecorders.recordBrokenResponse(call, endpoint, state.fingerprint)
+    return afterLoss(attempt, buffered.why)
   }
-  const status = sent.res.statusCode ?? 0
-  note(attempt, String(status))
+  const status = result.res.statusCode ?? 0
+  record(attempt, String(status))
   attemptRecorders.recordOutcome(call, endpoint, isLate(attempt) || status >= 500)
-  const answer = { res: sent.res, body: whole.body }
-  // An endpoint's own failure of a request that may run again is worth a second try elsewhere: it came early.
+  const response = { res: result.res, body: buffered.body }
+  // A server error is retried at another endpoint and kept as the fallback response.
   if (status >= 500 && status !== 504 && attempt.mayRunAgain) {
-    course.fallback = answer
-    return { kind: 'another' }
+    state.fallback = response
+    return { kind: 'retry' }
   }
-  return { kind: 'ended', outcome: clientResponses.sendResponse(call, answer) }
+  return { kind: 'done', outcome: clientResponses.sendResponse(call, response) }
 }
 
 function afterLoss (attempt: Attempt, why: string): Next {
-  return attempt.mayRunAgain ? { kind: 'another' } : { kind: 'giveUp', why }
+  return attempt.mayRunAgain ? { kind: 'retry' } : { kind: 'fail', why }
 }
 
-function note (attempt: Attempt, outcome: string): void {
-  attemptRecorders.recordAttempt(attempt.call, attempt.picked.endpoint, outcome, attempt.sentAt, attempt.picked.why)
+function record (attempt: Attempt, outcome: string): void {
+  attemptRecorders.recordAttempt(attempt.call, attempt.selected.endpoint, outcome, attempt.sentAt, attempt.selected.why)
 }
 
 function isLate (attempt: Attempt): boolean {
@@ -184,9 +179,9 @@
   return route.targetMs > 0 && ctx.now() - sentAt > route.targetMs
 }
 
-function toPatience (call: clientCalls.ClientCall, leftMs: number): number {
-  const patienceMs = call.route.kind === 'stream' ? STREAM_PATIENCE * call.route.targetMs : PATIENCE_SHARE * leftMs
-  return Math.min(leftMs, patienceMs)
+function toResponseTimeoutMs (call: clientCalls.ClientCall, remainingMs: number): number {
+  const timeoutMs = call.route.kind === 'stream' ? STREAM_TIMEOUT_TARGETS * call.route.targetMs : RESPONSE_TIMEOUT_SHARE * remainingMs
+  return Math.min(remainingMs, timeoutMs)
 }
 
 function toDelayLimitMs (call: clientCalls.ClientCall): number {
@@ -196,17 +191,15 @@
 }
 
 /**
- * Tells whether a request that waits long keeps its place in an endpoint's queue.
- *
- * Load pattern: endpoints have more prompts to read than they can begin in time. A request that is taken from one queue to the
- * end of another one has its prompt read twice, so that all queues grow, and more requests are taken from one to the next.
+ * Returns whether a slow request is still queued at its endpoint. Moving a queued request to another endpoint would process its prompt
+ * twice and increase the overload.
  */
-function isQueued (call: clientCalls.ClientCall, tried: ReadonlySet<string>, endpoint: endpointPools.Endpoint, wait: queueDelays.PendingRequest): boolean {
+function isQueued (call: clientCalls.ClientCall, tried: ReadonlySet<string>, endpoint: endpointPools.Endpoint, pending: queueDelays.PendingRequest): boolean {
   if (!call.route.hasPrompt) return false
-  const known = endpoint.queueDelay.classify(wait)
-  switch (known) {
+  const progress = endpoint.queueDelay.classify(pending)
+  switch (progress) {
     case 'overtaken': return false
     case 'queued': return true
-    case 'silent': return selectEndpoints.selectEndpoint(call, tried, toDelayLimitMs(call)).kind !== 'picked'
+    case 'unresponsive': return selectEndpoints.selectEndpoint(call, tried, toDelayLimitMs(call)).kind !== 'selected'
   }
 }
--- a/packages/forwarding/src/headerNames.ts
+++ b/packages/forwarding/src/headerNames.ts
@@ -1,27 +1,27 @@
-/** The names that headers have on the wire. The deployment chooses them; all are in lower case. */
+/** Names of the HTTP headers, which each deployment configures. */
 
 /** Names of headers on the wire, in lower case. */
 export interface HeaderNames {
   /** Identifies one attempt of a client; endpoints echo it. */
   attemptId: string
-  /** Milliseconds that the sender still waits. */
+  /** Remaining time that the sender waits for the response, in milliseconds. */
   deadlineMs: string
-  /** Only the endpoint with this id may run the request. */
+  /** Id of the endpoint that the request is addressed to; any other endpoint must reject it. */
   expectEndpoint: string
-  /** Name of the client account, for the endpoint. */
+  /** Name of the authenticated client account, set for the endpoint. */
   account: string
-  /** The client's key. */
+  /** API key of the client. */
   key: string
-  /** Mark of the endpoint on an answer that it made. */
+  /** Set by the endpoint on every response that it produced itself. */
   seal: string
-  /** Mark of the endpoint on an answer that says the request was not run. */
+  /** Set by the endpoint on a response to a request that it did not run. */
   notRun: string
-  /** Parts of the prompt in order, `id:tokens` separated by commas. */
+  /** Parts of the prompt in order, as comma-separated `id:tokens`. */
   promptParts: string
-  /** Address of an endpoint from whose cache the receiver may copy what it lacks of the prompt. */
+  /** Address of an endpoint from whose KV cache the receiver may import missing prompt parts. */
   fetchFrom: string
-  /** The last event that the receiver has. */
+  /** Id of the last stream event that was received. */
   lastEventId: string
-  /** Headers that only the fleet may set: a client's own are left out. */
+  /** Headers that only the fleet may set; they are stripped from client requests. */
   reserved: readonly string[]
 }
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of forwarding: the entry instance, its document, and the names that a deployment chooses. */
+/** Public API of the forwarding package. */
 export * from './admission.js'
 export * from './chooseEndpoint.js'
 export * from './clientCall.js'
--- a/packages/forwarding/src/loadGossip.ts
+++ b/packages/forwarding/src/loadGossip.ts
@@ -1,6 +1,6 @@
 /**
- * What entry instances tell each other: how many requests each has at every endpoint, which requests crash endpoints, and which
- * document it holds.
+ * Gossip between entry instances: requests in flight at each endpoint, attempt outcomes, crash reports and the version of the
+ * configuration document.
  */
 import * as timers from 'node:timers/promises'
 import * as z from 'zod'
@@ -11,66 +11,60 @@
 import * as endpointPools from './endpointPool.js'
 import * as numbers from './numbers.js'
 
-/** What an entry instance tells the others. */
+/** Gossip update of an entry instance. */
 export const gossipUpdate = z.object({
   t: z.literal('peer'),
-  /** Endpoint, requests there, and how long they wait there until their answers begin, milliseconds, or null if that is not known. */
+  /** Endpoint id, requests in flight, and queue delay in milliseconds or null if unknown. */
   loads: z.array(z.tuple([z.string(), z.number(), z.number().nullable()])),
   outcomes: z.array(z.tuple([z.string(), z.number(), z.number()])),
   crashes: z.array(z.object({ fingerprint: z.string(), crashed: z.array(z.string()) })),
-  /** Version of the document that the sender holds. */
+  /** Document version of the sender. */
   document: z.number().default(0)
 })
-/** What an entry instance tells the others. */
+/** Gossip update of an entry instance. */
 export type GossipUpdate = z.infer<typeof gossipUpdate>
 
-/** What the exchange is built from. */
+/** Options of {@link startGossip}. */
 export interface GossipOptions {
-  /** The other entry instances. */
+  /** Returns the other entry instances. */
   peers: () => discovery.EntryRecord[]
   connect: (address: string) => Promise<links.Link>
   pool: endpointPools.EndpointPool
   quarantine: crashQuarantines.CrashQuarantine
   outliers: outlierDetectors.OutlierDetector
-  /** @returns the version of the document that is held here */
+  /** Returns the document version of this instance. */
   documentVersion: () => number
-  /** Told which version another instance holds. */
+  /** Called with the document version of another instance. */
   onDocumentVersion: (address: string, version: number) => void
 }
 
-/** Exchanges loads. */
 export interface Gossip {
-  onUpdate (news: GossipUpdate, from: string): void
-  /** Tells all others at once of requests that crash endpoints. */
+  onUpdate (update: GossipUpdate, from: string): void
+  /** Sends crash reports to all other instances immediately. */
   sendCrashReports (crashes: crashQuarantines.CrashReport[]): void
-  /** @returns how many entry instances there are, this one with them */
+  /** Number of entry instances, including this one. */
   instanceCount (): number
   stop (): void
 }
 
-/** How often loads are told in a small fleet ... */
-const TELL_MS = 200
-/** ... and how much later for each further instance, so that the cost of an instance stays the same. */
-const TELL_PER_INSTANCE_MS = 15
-/** Loads of an instance that fell silent are forgotten after this time. */
-const FORGET_MS = 3000
+/** Base interval between updates. */
+const GOSSIP_INTERVAL_MS = 200
+/** Added to the interval for each known instance, so that the number of messages per instance stays bounded. */
+const GOSSIP_INTERVAL_PER_INSTANCE_MS = 15
+/** The last update of an unresponsive instance is discarded after this time. */
+const UPDATE_TTL_MS = 3000
 
-/**
- * Starts the exchange.
- * @param opts this instance and the ways to the others
- * @returns the exchange
- */
 export function startGossip (opts: GossipOptions): Gossip {
-  const heard = new Map<string, { loads: GossipUpdate['loads'], at: number }>()
-  const stopped = new AbortController()
+  const updates = new Map<string, { loads: GossipUpdate['loads'], at: number }>()
+  const aborter = new AbortController()
 
-  const addUp = (): void => {
+  const applyUpdates = (): void => {
     const now = performance.now()
     const delays = new Map<string, number[]>()
     for (const endpoint of opts.pool.all()) endpoint.peerInFlight = 0
-    for (const [peer, item] of heard) {
-      if (now - item.at > FORGET_MS) {
-        heard.delete(peer)
+    for (const [peer, item] of updates) {
+      if (now - item.at > UPDATE_TTL_MS) {
+        updates.delete(peer)
         continue
       }
       for (const [id, load, delayMs] of item.loads) {
@@ -94,41 +88,41 @@
     })
   }
 
-  const tell = (news: GossipUpdate): void => {
-    const encoded = links.encodeEvent(news)
-    for (const other of opts.peers()) opts.connect(other.inner).then(link => { link.sendEncoded(encoded) }, () => {})
+  const send = (update: GossipUpdate): void => {
+    const encoded = links.encodeEvent(update)
+    for (const peer of opts.peers()) opts.connect(peer.inner).then(link => { link.sendEncoded(encoded) }, () => {})
   }
 
   const run = async (): Promise<void> => {
-    let wasEmpty = false
-    let toldVersion = 0
-    while (!stopped.signal.aborted) {
-      await timers.setTimeout(TELL_MS + TELL_PER_INSTANCE_MS * heard.size, undefined, { ref: false })
-      addUp()
+    let wasIdle = false
+    let sentVersion = 0
+    while (!aborter.signal.aborted) {
+      await timers.setTimeout(GOSSIP_INTERVAL_MS + GOSSIP_INTERVAL_PER_INSTANCE_MS * updates.size, undefined, { ref: false })
+      applyUpdates()
       const loads = toLoads()
-      // An idle instance says so once and is then silent but for a new document: silence reads as no load.
+      // An idle instance sends one empty update, and then only new document versions; an expired update counts as no load.
       const outcomes = opts.outliers.takeDeltas(performance.now())
       const version = opts.documentVersion()
-      if (loads.length === 0 && outcomes.length === 0 && wasEmpty && version === toldVersion) continue
-      wasEmpty = loads.length === 0
-      toldVersion = version
-      tell({ t: 'peer', loads, outcomes, crashes: [], document: version })
+      if (loads.length === 0 && outcomes.length === 0 && wasIdle && version === sentVersion) continue
+      wasIdle = loads.length === 0
+      sentVersion = version
+      send({ t: 'peer', loads, outcomes, crashes: [], document: version })
     }
   }
 
   void run()
   return {
-    onUpdate (news, from) {
-      heard.set(from, { loads: news.loads, at: performance.now() })
-      opts.quarantine.merge(news.crashes, performance.now())
-      opts.outliers.merge(news.outcomes, performance.now())
-      opts.onDocumentVersion(from, news.document)
-      addUp()
+    onUpdate (update, from) {
+      updates.set(from, { loads: update.loads, at: performance.now() })
+      opts.quarantine.merge(update.crashes, performance.now())
+      opts.outliers.merge(update.outcomes, performance.now())
+      opts.onDocumentVersion(from, update.document)
+      applyUpdates()
     },
     sendCrashReports (crashes) {
-      tell({ t: 'peer', loads: toLoads(), outcomes: [], crashes, document: opts.documentVersion() })
+      send({ t: 'peer', loads: toLoads(), outcomes: [], crashes, document: opts.documentVersion() })
     },
     instanceCount: () => opts.peers().length + 1,
-    stop () { stopped.abort() }
+    stop () { aborter.abort() }
   }
 }
--- a/packages/forwarding/src/numbers.ts
+++ b/packages/forwarding/src/numbers.ts
@@ -1,8 +1,7 @@
-/** Arithmetic that several decisions need. */
+/** Arithmetic helpers. */
 
 /**
- * Adds up.
- * @param list numbers
+ * Returns the sum of the numbers.
  * @returns their sum, 0 for none
  */
 export function sum (list: readonly number[]): number {
@@ -10,8 +9,7 @@
 }
 
 /**
- * Finds the middle one.
- * @param list numbers
+ * Returns the upper median.
  * @returns the upper median, or undefined for none
  */
 export function median (list: readonly number[]): number | undefined {
--- a/packages/forwarding/src/outgoingRequest.ts
+++ b/packages/forwarding/src/outgoingRequest.ts
@@ -1,4 +1,4 @@
-/** A client's request as it is sent to an endpoint. */
+/** Conversion of a client request to a request to an endpoint. */
 import * as http from 'node:http'
 import * as attempts from './attempt.js'
 import * as clientCalls from './clientCall.js'
@@ -8,32 +8,24 @@
 const BODILESS = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS', 'TRACE'])
 
 /**
- * Makes the request that an endpoint is sent.
- * @param call the client's request
- * @param picked the endpoint
- * @param leftMs how long the client still waits, milliseconds
- * @param lastEventId the last event that the client has, where the rest of a stream is asked for
- * @returns what is sent
+ * Builds the request to an endpoint.
+ * @param remainingMs time until the deadline, in milliseconds
  */
-export function toOutgoingRequest (call: clientCalls.ClientCall, picked: selectEndpoints.SelectedEndpoint, leftMs: number, lastEventId: string | undefined): attempts.OutgoingRequest {
+export function toOutgoingRequest (call: clientCalls.ClientCall, selected: selectEndpoints.SelectedEndpoint, remainingMs: number, lastEventId: string | undefined): attempts.OutgoingRequest {
   const { req, ctx } = call
-  // A method with a body needs a length even if the client sent none, or the HTTP library would send chunks.
+  // Without Content-Length the HTTP library would use chunked encoding for methods that allow a body.
   const hasBody = call.body.length > 0 || !BODILESS.has(req.method ?? 'GET')
-  const add: forwardHeaders.RequestAdditions = { leftMs, endpointId: picked.endpoint.id, account: call.account, bodyBytes: call.body.length, hasBody, lastEventId, fetchFrom: picked.fetchFrom }
+  const additions: forwardHeaders.RequestAdditions = { remainingMs, endpointId: selected.endpoint.id, account: call.account, bodyBytes: call.body.length, hasBody, lastEventId, fetchFrom: selected.fetchFrom }
   return {
     method: req.method ?? 'GET',
     url: req.url ?? '/',
-    headers: forwardHeaders.toRequestHeaders(req.rawHeaders, ctx.names, add),
+    headers: forwardHeaders.toRequestHeaders(req.rawHeaders, ctx.names, additions),
     body: call.body,
     attemptId: call.attemptId
   }
 }
 
-/**
- * Tells whether an answer is a stream of events.
- * @param res the answer's head
- * @returns whether its body is one
- */
+/** Returns whether a response is an event stream. */
 export function isEventStream (res: http.IncomingMessage): boolean {
   return res.headers['content-type']?.startsWith('text/event-stream') === true
 }
--- a/packages/forwarding/src/outlierDetector.ts
+++ b/packages/forwarding/src/outlierDetector.ts
@@ -1,113 +1,105 @@
 /**
- * Which endpoints answer worse than the others of their service, and get no work for a while. A decision without input or
- * output: it sees how attempts went, here and at the other entry instances.
- *
- * Load pattern: one of a few endpoints fails or delays four of ten requests, or is silent on open connections, while its
- * announcements and health check are good. Its load is low since it answers quickly or not at all, so it would get as much
- * work as the sound ones. What fails everywhere, as under too much load, is no reason: only the difference to the others counts.
+ * Outlier detection: ejects endpoints whose attempts fail or are late clearly more often than those of the other endpoints of their
+ * service, although they announce themselves as healthy. Failures that affect all endpoints alike, such as overload, eject none.
  */
 import * as numbers from './numbers.js'
 
-/** How attempts at one endpoint went since an instance told last: its id, all attempts, those that missed. */
+/** Attempts at one endpoint since the last gossip update: endpoint id, all attempts, missed attempts. */
 export type OutcomeDelta = [endpoint: string, attempts: number, missed: number]
 
-/** An endpoint as it may be set aside. */
+/** An endpoint that may be ejected. */
 export interface OutlierCandidate {
   id: string
-  /** Requests there, of all entry instances as far as known. */
+  /** Known requests in flight, of all entry instances. */
   load: number
   slots: number
 }
 
-/** How attempts at endpoints went. */
+/** Attempt statistics of endpoints, and the ejections based on them. */
 export interface OutlierDetector {
-  /** Notes an attempt; it missed if it failed, was refused or came later than its target. */
+  /** Records an attempt. It is missed if it failed, was rejected or exceeded the target latency. */
   record (endpoint: string, isMissed: boolean, now: number): void
-  /** Takes what another instance tells. */
-  merge (news: readonly OutcomeDelta[], now: number): void
-  /** @returns what was noted here since the last call */
+  /** Merges the statistics of another instance. */
+  merge (deltas: readonly OutcomeDelta[], now: number): void
+  /** Returns the attempts recorded by this instance since the last call. */
   takeDeltas (now: number): OutcomeDelta[]
-  /** @returns how many endpoints are remembered, here or by what others told */
+  /** Number of endpoints with statistics. */
   size (): number
-  /** @returns those of a service's endpoints that should get no work now */
+  /** Returns the endpoints of a service that are ejected now. */
   findOutliers (service: string, endpoints: readonly OutlierCandidate[], now: number): ReadonlySet<string>
 }
 
-/** Half of what was seen counts after this time: long enough for twenty attempts at a small endpoint, short against a fault. */
+/** Half-life of the attempt statistics. */
 const HALF_LIFE_MS = 1500
-/** An endpoint that was set aside stays so for this long, and then has to be found worse again: a short fault is over. */
-const HOLD_MS = 4000
-/** What was seen longer ago than this counts for nothing and is forgotten: endpoints come and go under new ids. */
-const FORGET_MS = 20 * HALF_LIFE_MS
-/** An endpoint is worse if this share of its attempts missed ... */
-const WORSE_SHARE = 0.25
-/** ... and more than this many standard deviations over what the others' share lets expect ... */
-const DEVIATIONS = 2.5
-/** ... and these on top, since for few attempts a deviation says little. */
-const MISSED_ON_TOP = 2
-/** The others' share is taken for no less than this: with none missed anywhere, the first few would be a surprise. */
-const LEAST_SHARE = 0.05
-/** Of a service's endpoints at most this share is set aside: what is left must carry the load. */
-const MOST_ASIDE = 1 / 3
-/** Endpoints are set aside only while the others stay below this share of their places. */
-const FULL_SHARE = 0.7
+/** Minimum duration of an ejection. */
+const EJECTION_MS = 4000
+/** Statistics that are older than this are deleted. */
+const RETENTION_MS = 20 * HALF_LIFE_MS
+/** Minimum share of missed attempts of an outlier. */
+const MIN_MISSED_SHARE = 0.25
+/** Minimum excess over the misses expected from the other endpoints, in standard deviations. */
+const MIN_DEVIATIONS = 2.5
+/** Additional missed attempts that are required, because the deviation of few attempts is unreliable. */
+const MIN_EXCESS_MISSED = 2
+/** Lower bound of the expected share of missed attempts. */
+const MIN_EXPECTED_SHARE = 0.05
+/** Maximum share of the endpoints of a service that may be ejected. */
+const MAX_EJECTED_SHARE = 1 / 3
+/** No endpoint is ejected if the remaining ones would exceed this share of their slots. */
+const MAX_UTILIZATION = 0.7
 
-interface Tally { attempts: number, missed: number, at: number }
+interface AttemptStats { attempts: number, missed: number, at: number }
 
-/**
- * Creates the memory of outcomes.
- * @param onChange told when an endpoint is set aside or gets work again
- * @returns the memory, empty
- */
-export function createOutlierDetector (onChange: (endpoint: string, isAside: boolean, share: number) => void = () => {}): OutlierDetector {
-  const own = new Map<string, Tally>()
-  const all = new Map<string, Tally>()
-  const news = new Map<string, OutcomeDelta>()
-  const asideOf = new Map<string, Set<string>>()
-  const heldUntil = new Map<string, number>()
+/** Creates a detector without statistics. */
+export function createOutlierDetector (onChange: (endpoint: string, isEjected: boolean, share: number) => void = () => {}): OutlierDetector {
+  const own = new Map<string, AttemptStats>()
+  const all = new Map<string, AttemptStats>()
+  const deltas = new Map<string, OutcomeDelta>()
+  const ejectedByService = new Map<string, Set<string>>()
+  const ejectedUntil = new Map<string, number>()
 
-  const add = (tallies: Map<string, Tally>, endpoint: string, attempts: number, missed: number, now: number): void => {
-    const tally = read(tallies, endpoint, now)
-    tally.attempts += attempts
-    tally.missed += missed
-    tallies.set(endpoint, tally)
+  const add = (statsById: Map<string, AttemptStats>, endpoint: string, attempts: number, missed: number, now: number): void => {
+    const stats = decay(statsById, endpoint, now)
+    stats.attempts += attempts
+    stats.missed += missed
+    statsById.set(endpoint, stats)
   }
 
-  /** @returns the endpoints whose attempts missed clearly more often than those at all others together */
-  const findOutliers = (tallies: Map<string, Tally>, endpoints: readonly OutlierCandidate[], now: number): Set<string> => {
-    const tallyOf = new Map(endpoints.map(item => [item.id, read(tallies, item.id, now)]))
-    const attempts = numbers.sum([...tallyOf.values()].map(item => item.attempts))
-    const missed = numbers.sum([...tallyOf.values()].map(item => item.missed))
+  /** Returns the endpoints with clearly more missed attempts than all other endpoints together. */
+  const detect = (statsById: Map<string, AttemptStats>, endpoints: readonly OutlierCandidate[], now: number): Set<string> => {
+    const currentStats = new Map(endpoints.map(item => [item.id, decay(statsById, item.id, now)]))
+    const attempts = numbers.sum([...currentStats.values()].map(item => item.attempts))
+    const missed = numbers.sum([...currentStats.values()].map(item => item.missed))
     const outliers = new Set<string>()
-    for (const [id, tally] of tallyOf) {
-      if (toShare(tally) < WORSE_SHARE) continue
-      const share = toShare({ attempts: attempts - tally.attempts, missed: missed - tally.missed })
-      const expected = tally.attempts * Math.max(LEAST_SHARE, share)
-      if (tally.missed > expected + DEVIATIONS * Math.sqrt(expected) + MISSED_ON_TOP) outliers.add(id)
+    for (const [id, stats] of currentStats) {
+      if (toMissedShare(stats) < MIN_MISSED_SHARE) continue
+      const share = toMissedShare({ attempts: attempts - stats.attempts, missed: missed - stats.missed })
+      const expected = stats.attempts * Math.max(MIN_EXPECTED_SHARE, share)
+      if (stats.missed > expected + MIN_DEVIATIONS * Math.sqrt(expected) + MIN_EXCESS_MISSED) outliers.add(id)
     }
     return outliers
   }
 
-  const forget = (now: number): void => {
-    for (const tallies of [own, all]) {
-      for (const [id, tally] of tallies) if (now - tally.at > FORGET_MS) tallies.delete(id)
+  const deleteExpired = (now: number): void => {
+    for (const statsById of [own, all]) {
+      for (const [id, stats] of statsById) if (now - stats.at > RETENTION_MS) statsById.delete(id)
     }
-    for (const [id, until] of heldUntil) if (now > until + FORGET_MS) heldUntil.delete(id)
+    for (const [id, until] of ejectedUntil) if (now > until + RETENTION_MS) ejectedUntil.delete(id)
   }
 
-  const noteChanges = (service: string, next: Set<string>, now: number): void => {
-    const last = asideOf.get(service) ?? new Set<string>()
+  const recordChanges = (service: string, next: Set<string>, now: number): void => {
+    const previous = ejectedByService.get(service) ?? new Set<string>()
     for (const id of next) {
-      if (last.has(id)) continue
-      heldUntil.set(id, now + HOLD_MS)
-      onChange(id, true, toShare(read(all, id, now)))
+      if (previous.has(id)) continue
+      ejectedUntil.set(id, now + EJECTION_MS)
+      onChange(id, true, toMissedShare(decay(all, id, now)))
     }
-    for (const id of last) {
+    for (const id of previous) {
       if (next.has(id)) continue
-      heldUntil.delete(id)
-      onChange(id, false, toShare(read(all, id, now)))
+      ejectedUntil.delete(id)
+      onChange(id, false, toMissedShare(decay(all, id, now)))
     }
-    asideOf.set(service, next)
+    ejectedByService.set(service, next)
   }
 
   return {
@@ -115,44 +107,44 @@
       const missed = isMissed ? 1 : 0
       add(own, endpoint, 1, missed, now)
       add(all, endpoint, 1, missed, now)
-      const item = news.get(endpoint) ?? [endpoint, 0, 0]
-      news.set(endpoint, [endpoint, item[1] + 1, item[2] + missed])
+      const item = deltas.get(endpoint) ?? [endpoint, 0, 0]
+      deltas.set(endpoint, [endpoint, item[1] + 1, item[2] + missed])
     },
     merge (list, now) {
       for (const [endpoint, attempts, missed] of list) add(all, endpoint, attempts, missed, now)
     },
     takeDeltas (now) {
-      forget(now)
-      const list = [...news.values()]
-      news.clear()
+      deleteExpired(now)
+      const list = [...deltas.values()]
+      deltas.clear()
       return list
     },
     size: () => Math.max(own.size, all.size),
     findOutliers (service, endpoints, now) {
-      // An endpoint may fail for the callers of one availability zone only, so what was seen here counts by itself as well.
-      const outliers = [findOutliers(all, endpoints, now), findOutliers(own, endpoints, now)]
-      const worse = endpoints
-        .filter(item => now < (heldUntil.get(item.id) ?? 0) || outliers.some(set => set.has(item.id)))
-        .sort((a, b) => toShare(read(all, b.id, now)) - toShare(read(all, a.id, now)))
-        .slice(0, Math.floor(MOST_ASIDE * endpoints.length))
-      const aside = new Set(worse.map(item => item.id))
-      const left = endpoints.filter(item => !aside.has(item.id))
-      // Set aside they would leave too few places for the load: a worse endpoint is better than a full one.
-      if (numbers.sum(endpoints.map(item => item.load)) > FULL_SHARE * numbers.sum(left.map(item => item.slots))) aside.clear()
-      noteChanges(service, aside, now)
-      return aside
+      // An endpoint may fail for one availability zone only, so the statistics of this instance are also evaluated alone.
+      const outliers = [detect(all, endpoints, now), detect(own, endpoints, now)]
+      const ranked = endpoints
+        .filter(item => now < (ejectedUntil.get(item.id) ?? 0) || outliers.some(set => set.has(item.id)))
+        .sort((a, b) => toMissedShare(decay(all, b.id, now)) - toMissedShare(decay(all, a.id, now)))
+        .slice(0, Math.floor(MAX_EJECTED_SHARE * endpoints.length))
+      const ejected = new Set(ranked.map(item => item.id))
+      const remaining = endpoints.filter(item => !ejected.has(item.id))
+      // If the remaining endpoints cannot take the load, an outlier is better than an overloaded endpoint.
+      if (numbers.sum(endpoints.map(item => item.load)) > MAX_UTILIZATION * numbers.sum(remaining.map(item => item.slots))) ejected.clear()
+      recordChanges(service, ejected, now)
+      return ejected
     }
   }
 }
 
-/** @returns what is left of a tally by now */
-function read (tallies: ReadonlyMap<string, Tally>, endpoint: string, now: number): Tally {
-  const tally = tallies.get(endpoint)
-  if (tally === undefined) return { attempts: 0, missed: 0, at: now }
-  const left = 2 ** (-(now - tally.at) / HALF_LIFE_MS)
-  return { attempts: tally.attempts * left, missed: tally.missed * left, at: now }
+/** Returns the decayed statistics of an endpoint. */
+function decay (statsById: ReadonlyMap<string, AttemptStats>, endpoint: string, now: number): AttemptStats {
+  const stats = statsById.get(endpoint)
+  if (stats === undefined) return { attempts: 0, missed: 0, at: now }
+  const remaining = 2 ** (-(now - stats.at) / HALF_LIFE_MS)
+  return { attempts: stats.attempts * remaining, missed: stats.missed * remaining, at: now }
 }
 
-function toShare (tally: { attempts: number, missed: number }): number {
-  return tally.attempts <= 0 ? 0 : tally.missed / tally.attempts
+function toMissedShare (stats: { attempts: number, missed: number }): number {
+  return stats.attempts <= 0 ? 0 : stats.missed / stats.attempts
 }
--- a/packages/forwarding/src/queueDelay.ts
+++ b/packages/forwarding/src/queueDelay.ts
@@ -1,115 +1,108 @@
 /**
- * How long a request waits at an endpoint until its answer begins, as this instance sees it. A decision without input or output.
- *
- * Load pattern: endpoints are lost or callers double, and those that are left read prompts one after the other. Places there
- * still look free, since a request takes one only when its answer begins; what shows the queue is how long requests have been
- * waiting for that. An endpoint answers them nearly in the order in which they came. How long those have waited that are next
- * shows a queue only when it is there; how many wait, at the pace at which answers begin, shows it while it grows.
+ * Estimates the queue delay of an endpoint: the time until the response to the next request begins. Announced free slots do not show
+ * a queue of unread prompts, so the estimate is based on the waiting times of this instance's own requests, and on their number times
+ * the interval between responses, which detects a growing queue earlier.
  */
 
 import * as numbers from './numbers.js'
 
-/** A request that waits for its answer to begin. */
+/** A request that waits for its response. */
 export interface PendingRequest { readonly sentAt: number }
 
-/** How long requests wait at one endpoint. */
+/** Estimates the queue delay of one endpoint. */
 export interface QueueDelayEstimator {
-  /** Notes a request that was sent. */
+  /** Records a sent request. */
   onSent (now: number): PendingRequest
-  /** Notes that the answer to a request began. */
-  onResponse (wait: PendingRequest, now: number): void
-  /** Notes that a request waits no longer, without an answer. */
-  onAbandoned (wait: PendingRequest): void
-  /** @returns how long the next request is likely to wait, milliseconds, or undefined if nothing was seen lately */
+  /** Records that the response to a request began. */
+  onResponse (request: PendingRequest, now: number): void
+  /** Records that a request was abandoned without a response. */
+  onAbandoned (request: PendingRequest): void
+  /** Returns the expected delay of the next request in milliseconds, or undefined without recent observations. */
   estimateMs (now: number): number | undefined
-  /** @returns what is known of a request that waits long: overtaken by a later one, still queued, or nothing is answered at all */
-  classify (wait: PendingRequest): 'overtaken' | 'queued' | 'silent'
+  /** Classifies a slow request: a later one was answered first, earlier ones are still being answered, or no response arrived at all. */
+  classify (request: PendingRequest): 'overtaken' | 'queued' | 'unresponsive'
 }
 
-/** Waits that ended longer ago say nothing of now. */
-const MEMORY_MS = 700
-/** The pace of answers says nothing of now when the last of them began longer ago. */
-const PACE_MEMORY_MS = 5000
-/** Weight of the latest time between two answers in the pace. */
-const PACE_WEIGHT = 0.15
-/** Of so many waits the median counts: one of them may be long for a lost packet alone. */
-const WAITS = 3
-/** A request is sent only where it is likely to wait no longer than this share of its target: the rest is for the way. */
-const DELAY_SHARE = 0.7
-/** So many requests must be waiting before the time they have waited counts, for the same reason. */
-const WAITING = 2
+/** Maximum age of a completed wait in the estimate. */
+const WAIT_MAX_AGE_MS = 700
+/** Maximum age of the response interval in the estimate. */
+const INTERVAL_MAX_AGE_MS = 5000
+/** Weight of the latest response interval in the moving average. */
+const INTERVAL_WEIGHT = 0.15
+/** Number of completed waits whose median is used, so that a single outlier is ignored. */
+const WAIT_SAMPLES = 3
+/** Maximum queue delay as a share of the target latency; the rest is left for the network. */
+const MAX_DELAY_SHARE = 0.7
+/** Minimum number of pending requests for their waiting time to be used. */
+const MIN_PENDING = 2
 
 /**
- * Tells how long a request may wait at an endpoint.
- * @param targetMs within this time its answer should begin, 0 if that is not known
- * @returns milliseconds
+ * Returns the maximum queue delay of a request.
+ * @param targetMs target latency in milliseconds, 0 if unknown
+ * @returns milliseconds, Infinity without a target
  */
 export function toDelayLimitMs (targetMs: number): number {
-  return targetMs > 0 ? DELAY_SHARE * targetMs : Infinity
+  return targetMs > 0 ? MAX_DELAY_SHARE * targetMs : Infinity
 }
 
-/**
- * Creates a meter.
- * @returns the meter, without anything seen
- */
 export function createQueueDelayEstimator (): QueueDelayEstimator {
-  const waiting = new Set<PendingRequest>()
-  let ended: Array<{ at: number, ms: number }> = []
-  /** When the latest of those requests was sent that were answered. */
+  const pending = new Set<PendingRequest>()
+  let completed: Array<{ at: number, ms: number }> = []
+  /** Send time of the most recently sent request that was answered. */
   let answeredSentAt = -Infinity
   let answeredAt = -Infinity
-  /** Milliseconds between two answers while requests wait; undefined until that was seen. */
-  let paceMs: number | undefined
+  /** Moving average of the interval between responses, in milliseconds; undefined before the first response. */
+  let intervalMs: number | undefined
 
-  const notePace = (wait: PendingRequest, now: number): void => {
-    const sinceMs = now - Math.max(answeredAt, wait.sentAt)
-    paceMs = paceMs === undefined ? sinceMs : paceMs + PACE_WEIGHT * (sinceMs - paceMs)
+  const recordInterval = (request: PendingRequest, now: number): void => {
+    const sinceMs = now - Math.max(answeredAt, request.sentAt)
+    intervalMs = intervalMs === undefined ? sinceMs : intervalMs + INTERVAL_WEIGHT * (sinceMs - intervalMs)
   }
 
-  /** @returns how long all but the first of those have waited that nothing has overtaken */
-  const toQueuedMs = (now: number): number | undefined => {
+  /** Returns the waiting time of the second oldest request that no later one has overtaken. */
+  const toPendingMs = (now: number): number | undefined => {
     let count = 0
-    for (const wait of waiting) {
-      if (wait.sentAt <= answeredSentAt) continue
+    for (const request of pending) {
+      if (request.sentAt <= answeredSentAt) continue
       count++
-      if (count === WAITING) return now - wait.sentAt
+      if (count === MIN_PENDING) return now - request.sentAt
     }
     return undefined
   }
 
-  const toEndedMs = (now: number): number | undefined => {
-    ended = ended.filter(item => now - item.at < MEMORY_MS)
-    if (ended.length === 0) return undefined
-    // A queue that nothing is added to has become shorter since.
-    const times = ended.map(item => Math.max(0, item.ms - (now - item.at)))
-    return ended.length < WAITS ? Math.min(...times) : numbers.median(times)
+  const toCompletedMs = (now: number): number | undefined => {
+    completed = completed.filter(item => now - item.at < WAIT_MAX_AGE_MS)
+    if (completed.length === 0) return undefined
+    // Without new requests the queue has shrunk since then.
+    const times = completed.map(item => Math.max(0, item.ms - (now - item.at)))
+    return completed.length < WAIT_SAMPLES ? Math.min(...times) : numbers.median(times)
   }
 
   return {
     onSent (now) {
-      const wait = { sentAt: now }
-      waiting.add(wait)
-      return wait
+      const request = { sentAt: now }
+      pending.add(request)
+      return request
     },
-    onResponse (wait, now) {
-      waiting.delete(wait)
-      notePace(wait, now)
+    onResponse (request, now) {
+      pending.delete(request)
+      recordInterval(request, now)
       answeredAt = now
-      answeredSentAt = Math.max(answeredSentAt, wait.sentAt)
-      ended = [...ended.slice(1 - WAITS), { at: now, ms: now - wait.sentAt }]
+      answeredSentAt = Math.max(answeredSentAt, request.sentAt)
+      completed = [...completed.slice(1 - WAIT_SAMPLES), { at: now, ms: now - request.sentAt }]
     },
-    onAbandoned (wait) { waiting.delete(wait) },
+    onAbandoned (request) { pending.delete(request) },
     estimateMs (now) {
-      const queuedMs = toQueuedMs(now)
-      const endedMs = toEndedMs(now)
-      const isPaceKnown = paceMs !== undefined && now - answeredAt < PACE_MEMORY_MS
-      const countedMs = waiting.size >= WAITING && isPaceKnown ? waiting.size * (paceMs as number) : undefined
-      const seen = [queuedMs, endedMs, countedMs].filter(item => item !== undefined)
-      return seen.length === 0 ? undefined : Math.max(...seen)
+      const pendingMs = toPendingMs(now)
+      const completedMs = toCompletedMs(now)
+      const isIntervalKnown = intervalMs !== undefined && now - answeredAt < INTERVAL_MAX_AGE_MS
+      const projectedMs = pending.size >= MIN_PENDING && isIntervalKnown ? pending.size * (intervalMs as number) : undefined
+      const estimates = [pendingMs, completedMs, projectedMs].filter(item => item !== undefined)
+      return estimates.length === 0 ? undefined : Math.max(...estimates)
     },
-    classify (wait) {
-      if (answeredSentAt > wait.sentAt) return 'overtaken'
-      return answeredAt > wait.sentAt ? 'queued' : 'silent'
+    classify (request) {
+      if (answeredSentAt > request.sentAt) return 'overtaken'
+      return answeredAt > request.sentAt ? 'queued' : 'unresponsive'
     }
   }
 }
--- a/packages/forwarding/src/relayStream.ts
+++ b/packages/forwarding/src/relayStream.ts
@@ -1,6 +1,6 @@
 /**
- * Passes an event stream on, event by event, and goes on at another endpoint when the first one breaks off and the route
- * allows that. Only whole events are passed on, so that the rest can be asked for behind the last one.
+ * Relays an event stream to the client, and resumes it at another endpoint if it breaks off and the route is resumable. Only complete
+ * events are relayed, so that the stream can be resumed after the last one.
  */
 import * as http from 'node:http'
 import * as attempts from './attempt.js'
@@ -11,50 +11,42 @@
 import * as eventStreams from './eventStream.js'
 import * as forwardHeaders from './forwardHeaders.js'
 
-/** An answer whose body is still to come. */
-export type OpenResponse = Extract<attempts.AttemptResult, { kind: 'answer' }>
+/** A response whose body was not read yet. */
+export type OpenResponse = Extract<attempts.AttemptResult, { kind: 'response' }>
 
-/** What came of asking another endpoint for the rest. */
+/** Result of resuming a stream at another endpoint. */
 export type ResumeResult =
-  | { kind: 'stream', endpoint: endpointPools.Endpoint, sent: OpenResponse }
+  | { kind: 'stream', endpoint: endpointPools.Endpoint, response: OpenResponse }
   | { kind: 'none', why: string }
 
-/** What a relay needs beside the request. */
+/** Options of {@link relayStream}. */
 export interface RelayOptions {
   response: OpenResponse
-  /** The endpoint that gives this answer. */
+  /** The endpoint that sent the response. */
   endpoint: endpointPools.Endpoint
-  /** Asks another endpoint for what follows an event, after one broke off. */
+  /** Requests the events after `lastEventId` from another endpoint. */
   resume: (lastEventId: string | undefined, broken: endpointPools.Endpoint) => Promise<ResumeResult>
 }
 
-/** How a relay ended: with its end passed on, broken off, or before anything was passed on. */
+/** Result of a relay: completed, broken off, or broken before anything was sent to the client. */
 export interface RelayResult { kind: 'done' | 'broken' | 'unstarted', outcome: string }
 
-/** How one endpoint's part of a stream ended. */
+/** How the part of a stream from one endpoint ended. */
 type PartEnd = { kind: 'end' } | { kind: 'broken', why: string } | { kind: 'stopped', why: string }
 
-/**
- * A stream that may be resumed is taken elsewhere when its endpoint is silent for this long mid-stream: several times the
- * longest pause of a sound one, and half of what clients bear before they leave.
- */
-const STALL_MS = 1000
+/** A resumable stream without an event for this time is resumed at another endpoint. */
+const STALL_TIMEOUT_MS = 1000
 
-/**
- * Passes a stream on to its end.
- * @param call the request
- * @param opts the endpoint's answer and the way to another one
- * @returns how it ended
- */
+/** Passes a stream on to its end. */
 export async function relayStream (call: clientCalls.ClientCall, opts: RelayOptions): Promise<RelayResult> {
   const { res, route, ctx } = call
-  const canResume = route.isResumable
+  const isResumable = route.isResumable
   const first = opts.response.res
   let isStarted = false
   let lastId: string | undefined
   let source = opts.response
-  let restEndpoint: endpointPools.Endpoint | undefined
-  let resumedFrom: string | undefined
+  let resumeEndpoint: endpointPools.Endpoint | undefined
+  let resumedAfter: string | undefined
 
   const start = (): void => {
     isStarted = true
@@ -63,86 +55,86 @@
     res.writeHead(first.statusCode ?? 200, headers)
   }
 
-  let isBackedUp = false
-  const joiner = eventBatchers.createEventBatcher({
-    write (bytes) { isBackedUp = !res.write(bytes) },
+  let needsDrain = false
+  const batcher = eventBatchers.createEventBatcher({
+    write (bytes) { needsDrain = !res.write(bytes) },
     schedule (run, ms) {
       const timer = setTimeout(run, ms)
       return () => { clearTimeout(timer) }
     }
   })
 
-  const pass = async (event: eventStreams.StreamEvent): Promise<void> => {
-    // An endpoint that goes on too early would send events twice.
-    if (resumedFrom !== undefined && event.id !== undefined && !isBehind(event.id, lastId)) return
+  const relayEvent = async (event: eventStreams.StreamEvent): Promise<void> => {
+    // Skips events that the client already has, if the endpoint resumes too early.
+    if (resumedAfter !== undefined && event.id !== undefined && !isAfter(event.id, lastId)) return
     if (!isStarted) start()
     if (event.id !== undefined) lastId = event.id
-    joiner.push(event.bytes)
-    if (isBackedUp && !res.destroyed) {
-      await drained(res, call.aborter.signal)
-      isBackedUp = false
+    batcher.push(event.bytes)
+    if (needsDrain && !res.destroyed) {
+      await waitForDrain(res, call.aborter.signal)
+      needsDrain = false
     }
   }
 
-  const runPart = async (answer: OpenResponse): Promise<PartEnd> => {
-    const part = answer.res
+  const relayPart = async (response: OpenResponse): Promise<PartEnd> => {
+    const body = response.res
     const splitter = eventStreams.createEventSplitter()
     try {
-      for await (const chunk of withStall(part, canResume ? STALL_MS : undefined)) {
-        for (const event of splitter.push(chunk)) await pass(event)
+      for await (const chunk of readWithTimeout(body, isResumable ? STALL_TIMEOUT_MS : undefined)) {
+        for (const event of splitter.push(chunk)) await relayEvent(event)
         if (call.aborter.signal.aborted) return { kind: 'stopped', why: String(call.aborter.signal.reason) }
       }
     } catch (err) {
       if (call.aborter.signal.aborted) return { kind: 'stopped', why: String(call.aborter.signal.reason) }
       return { kind: 'broken', why: err instanceof Error ? err.message : String(err) }
     }
-    if (!attempts.isComplete(answer)) return { kind: 'broken', why: 'the connection closed' }
-    if (splitter.pendingBytes() > 0) return { kind: 'broken', why: 'the stream ended within an event' }
+    if (!attempts.isComplete(response)) return { kind: 'broken', why: 'the connection closed' }
+    if (splitter.pendingBytes() > 0) return { kind: 'broken', why: 'the stream ended with an incomplete event' }
     return { kind: 'end' }
   }
 
-  const onStop = (): void => { source.abort() }
-  call.aborter.signal.addEventListener('abort', onStop)
+  const onAbort = (): void => { source.abort() }
+  call.aborter.signal.addEventListener('abort', onAbort)
   try {
     while (true) {
-      const end = await runPart(source)
-      joiner.flush()
+      const end = await relayPart(source)
+      batcher.flush()
       if (end.kind !== 'end') source.abort()
       switch (end.kind) {
         case 'end':
           if (!isStarted) start()
           res.end()
-          return { kind: 'done', outcome: resumedFrom === undefined ? '200' : '200 resumed' }
+          return { kind: 'done', outcome: resumedAfter === undefined ? '200' : '200 resumed' }
         case 'stopped':
           abortResponses.abortResponse(res)
           return { kind: 'broken', outcome: `stopped: ${end.why}` }
         case 'broken': {
-          if (!isStarted && resumedFrom === undefined) return { kind: 'unstarted', outcome: `lost: ${end.why}` }
-          const resumed: ResumeResult = canResume ? await opts.resume(lastId, restEndpoint ?? opts.endpoint) : { kind: 'none', why: 'the route does not allow to resume' }
+          if (!isStarted && resumedAfter === undefined) return { kind: 'unstarted', outcome: `lost: ${end.why}` }
+          const resumed: ResumeResult = isResumable ? await opts.resume(lastId, resumeEndpoint ?? opts.endpoint) : { kind: 'none', why: 'the route is not resumable' }
           if (resumed.kind === 'none') {
             abortResponses.abortResponse(res)
             return { kind: 'broken', outcome: `broken: ${end.why}; ${resumed.why}` }
           }
-          if (restEndpoint !== undefined) restEndpoint.inFlight--
-          restEndpoint = resumed.endpoint
-          source = resumed.sent
-          resumedFrom = lastId ?? ''
-          call.attempts.push({ endpoint: restEndpoint.id, why: 'resume', outcome: `resumed after ${lastId ?? 'nothing'}: ${end.why}`, ms: 0 })
+          if (resumeEndpoint !== undefined) resumeEndpoint.inFlight--
+          resumeEndpoint = resumed.endpoint
+          source = resumed.response
+          resumedAfter = lastId ?? ''
+          call.attempts.push({ endpoint: resumeEndpoint.id, why: 'resume', outcome: `resumed after ${lastId ?? 'nothing'}: ${end.why}`, ms: 0 })
         }
       }
     }
   } finally {
-    if (restEndpoint !== undefined) restEndpoint.inFlight--
-    call.aborter.signal.removeEventListener('abort', onStop)
+    if (resumeEndpoint !== undefined) resumeEndpoint.inFlight--
+    call.aborter.signal.removeEventListener('abort', onAbort)
   }
 }
 
-/** Event ids are numbers that grow. */
-function isBehind (id: string, last: string | undefined): boolean {
+/** Event ids are increasing numbers. */
+function isAfter (id: string, last: string | undefined): boolean {
   return last === undefined || Number(id) > Number(last)
 }
 
-async function drained (res: http.ServerResponse, signal: AbortSignal): Promise<void> {
+async function waitForDrain (res: http.ServerResponse, signal: AbortSignal): Promise<void> {
   await new Promise<void>(resolve => {
     const settle = (): void => {
       res.off('drain', settle)
@@ -156,17 +148,17 @@
   })
 }
 
-/** Reads a body and gives up when nothing comes for too long. */
-async function * withStall (part: http.IncomingMessage, stallMs: number | undefined): AsyncGenerator<Buffer> {
+/** Reads a body, and aborts it if no data arrives within the timeout. */
+async function * readWithTimeout (body: http.IncomingMessage, timeoutMs: number | undefined): AsyncGenerator<Buffer> {
   let timer: NodeJS.Timeout | undefined
   const arm = (): void => {
-    if (stallMs === undefined) return
+    if (timeoutMs === undefined) return
     clearTimeout(timer)
-    timer = setTimeout(() => { part.destroy(new Error(`nothing came for ${stallMs} ms`)) }, stallMs)
+    timer = setTimeout(() => { body.destroy(new Error(`no data within ${timeoutMs} ms`)) }, timeoutMs)
   }
   arm()
   try {
-    for await (const chunk of part) {
+    for await (const chunk of body) {
       arm()
       yield chunk as Buffer
     }
--- a/packages/forwarding/src/resumeStream.ts
+++ b/packages/forwarding/src/resumeStream.ts
@@ -1,4 +1,4 @@
-/** The rest of a stream that broke off, from another endpoint. */
+/** Resumption of a broken stream at another endpoint. */
 import * as attempts from './attempt.js'
 import * as clientResponses from './clientResponse.js'
 import * as attemptRecorders from './attemptRecorder.js'
@@ -9,58 +9,54 @@
 import * as relayStreams from './relayStream.js'
 
 /**
- * Asks other endpoints for the rest of a stream. A client that has a part of its answer waits for the rest however long the queue
- * is.
- * @param call the request
- * @param course the endpoints that were tried and that may have run it; those that are asked now are added
- * @param lastEventId the last event that the client has
- * @returns the rest, or why there is none
+ * Requests the rest of a stream from other endpoints. The queue delay is not limited, because the client already has a part of the
+ * response.
  */
-export async function resumeStream (call: clientCalls.ClientCall, course: requestStates.RequestState, lastEventId: string | undefined): Promise<relayStreams.ResumeResult> {
+export async function resumeStream (call: clientCalls.ClientCall, state: requestStates.RequestState, lastEventId: string | undefined): Promise<relayStreams.ResumeResult> {
   const { ctx, route } = call
-  let offers = 0
-  while (offers < selectEndpoints.MAX_SENDS) {
-    const leftMs = call.deadlineAt - ctx.now()
-    if (call.aborter.signal.aborted || leftMs < clientResponses.MIN_REMAINING_MS) return { kind: 'none', why: 'the time is over' }
-    if (!requestStates.mayRun(route, course.runs)) return { kind: 'none', why: 'no further attempt is allowed' }
-    const picked = selectEndpoints.selectEndpoint(call, course.tried, Infinity)
-    if (picked.kind !== 'picked') return { kind: 'none', why: 'no further endpoint can be reached' }
-    if (!ctx.retryBudget(call.service).trySpend(ctx.now(), ctx.gossip.instanceCount())) return { kind: 'none', why: 'the budget of retries is used up' }
-    const { endpoint } = picked
-    course.tried.add(endpoint.id)
-    offers++
+  let sends = 0
+  while (sends < selectEndpoints.MAX_SENDS) {
+    const remainingMs = call.deadlineAt - ctx.now()
+    if (call.aborter.signal.aborted || remainingMs < clientResponses.MIN_REMAINING_MS) return { kind: 'none', why: 'the deadline has passed' }
+    if (!requestStates.mayRun(route, state.runs)) return { kind: 'none', why: 'no further attempt is allowed' }
+    const selected = selectEndpoints.selectEndpoint(call, state.tried, Infinity)
+    if (selected.kind !== 'selected') return { kind: 'none', why: 'no further endpoint is available' }
+    if (!ctx.retryBudget(call.service).trySpend(ctx.now(), ctx.gossip.instanceCount())) return { kind: 'none', why: 'the retry budget is exhausted' }
+    const { endpoint } = selected
+    state.tried.add(endpoint.id)
+    sends++
     const sentAt = ctx.now()
     endpoint.inFlight++
-    const sent = await attempts.sendAttempt({
+    const result = await attempts.sendAttempt({
       endpoint,
-      request: outgoingRequests.toOutgoingRequest(call, picked, leftMs, lastEventId),
+      request: outgoingRequests.toOutgoingRequest(call, selected, remainingMs, lastEventId),
       names: ctx.names,
       signal: call.aborter.signal,
-      responseTimeoutMs: leftMs
+      responseTimeoutMs: remainingMs
     })
-    attemptRecorders.recordResult(call, course, endpoint, sent, sentAt)
-    switch (sent.kind) {
-      case 'answer': {
-        const status = sent.res.statusCode ?? 0
-        // Its place in the count is given back by the relay when the stream ends.
-        if (outgoingRequests.isEventStream(sent.res) && status < 300) return { kind: 'stream', endpoint, sent }
+    attemptRecorders.recordResult(call, state, endpoint, result, sentAt)
+    switch (result.kind) {
+      case 'response': {
+        const status = result.res.statusCode ?? 0
+        // The relay decrements inFlight when the stream ends.
+        if (outgoingRequests.isEventStream(result.res) && status < 300) return { kind: 'stream', endpoint, response: result }
         attemptRecorders.recordAttempt(call, endpoint, `no stream ${status}`, sentAt)
         attemptRecorders.recordOutcome(call, endpoint, true)
-        sent.abort()
+        result.abort()
         break
       }
       case 'unreachable':
-        attemptRecorders.recordAttempt(call, endpoint, `unreachable: ${sent.why}`, sentAt)
+        attemptRecorders.recordAttempt(call, endpoint, `unreachable: ${result.why}`, sentAt)
         break
       case 'notRun':
-        attemptRecorders.recordAttempt(call, endpoint, `notRun ${sent.status}`, sentAt)
+        attemptRecorders.recordAttempt(call, endpoint, `notRun ${result.status}`, sentAt)
         break
       case 'lost':
-        attemptRecorders.recordAttempt(call, endpoint, `lost: ${sent.why}`, sentAt)
+        attemptRecorders.recordAttempt(call, endpoint, `lost: ${result.why}`, sentAt)
         endpoint.inFlight--
-        return { kind: 'none', why: sent.why }
+        return { kind: 'none', why: result.why }
     }
     endpoint.inFlight--
   }
-  return { kind: 'none', why: 'no endpoint had room' }
+  return { kind: 'none', why: 'no endpoint accepted the request' }
 }
--- a/packages/forwarding/src/retryAfter.ts
+++ b/packages/forwarding/src/retryAfter.ts
@@ -1,63 +1,54 @@
 /**
- * When a caller that is refused should come back. A decision without input or output.
- *
- * Load pattern: most clients come back once. One that comes back too early is refused for good, and those that are told the
- * same time come back together; so the time is that at which the cause is expected to be over, spread upwards.
+ * Retry-After of rejected requests: the expected duration of the cause, plus jitter against synchronized retries.
  */
 
-/** Why a request is refused. */
+/** Why a request is rejected. */
 export type RefusalCause =
-  /** This instance has just started and has no document yet. */
-  | { kind: 'starting', /** Since the process started, milliseconds. */ uptimeMs: number }
-  /** Another document may know the request's path or key: this instance waits for it. */
+  /** This instance has started and has no configuration document yet. */
+  | { kind: 'starting', /** Time since the process started, in milliseconds. */ uptimeMs: number }
+  /** A newer configuration document, which this instance does not have yet, may contain the route or key. */
   | { kind: 'outdated' }
-  /** This instance stops: another one takes the request at once. */
+  /** This instance is draining; other instances accept the request. */
   | { kind: 'stopping' }
-  /** No endpoint of the service can be reached now. */
+  /** No endpoint of the service is reachable. */
   | { kind: 'noEndpoint' }
-  /** The endpoints that can be reached have no room. */
+  /** All reachable endpoints are at their connection limits. */
   | { kind: 'noRoom' }
-  /** The endpoints that can be reached begin answers so late, milliseconds. */
+  /** All eligible endpoints exceed the maximum queue delay; `delayMs` is the lowest delay, in milliseconds. */
   | { kind: 'busy', delayMs: number }
-  /** The request crashed the endpoints that ran it. */
+  /** The request is quarantined. */
   | { kind: 'quarantined' }
 
-/** The least that a starting instance asks for. */
-const STARTING_LEAST_MS = 400
-/** The most that a starting instance asks for: callers with seconds to go come back once more before they give up. */
-const STARTING_MOST_MS = 3000
+const MIN_STARTING_MS = 400
+const MAX_STARTING_MS = 3000
 const STOPPING_MS = 20
-/** Longer than a document takes to all instances; another instance may have it already. */
 const OUTDATED_MS = 300
-/** Endpoints that crashed are mostly replaced or found again after a second. */
 const NO_ENDPOINT_MS = 700
-/** A place becomes free as soon as one of many running requests ends. */
 const NO_ROOM_MS = 150
-/** A queue of endpoints that have too much to do shrinks slowly: a caller comes back after this multiple of its length. */
-const BUSY_DELAYS = 5
+/** Multiple of the queue delay after which the client of a rejected request retries. */
+const BUSY_DELAY_FACTOR = 5
 const QUARANTINED_MS = 30_000
-/** The latest come this share of the time after the first. */
-const SPREAD = 0.5
+/** Maximum jitter, as a share of the delay. */
+const MAX_JITTER_SHARE = 0.5
 
 /**
- * Tells when to come back.
- * @param cause why the request is refused
+ * Returns the delay after which the client should retry.
  * @param draw a number in [0, 1)
  * @returns milliseconds
  */
 export function toRetryAfterMs (cause: RefusalCause, draw: number): number {
-  return toExpectedMs(cause) * (1 + SPREAD * draw)
+  return toDelayMs(cause) * (1 + MAX_JITTER_SHARE * draw)
 }
 
-function toExpectedMs (cause: RefusalCause): number {
+function toDelayMs (cause: RefusalCause): number {
   switch (cause.kind) {
-    // An outage that has lasted long is likely to last as long again.
-    case 'starting': return Math.min(STARTING_MOST_MS, Math.max(STARTING_LEAST_MS, cause.uptimeMs))
+    // The expected remaining duration of an outage is the duration so far.
+    case 'starting': return Math.min(MAX_STARTING_MS, Math.max(MIN_STARTING_MS, cause.uptimeMs))
     case 'stopping': return STOPPING_MS
     case 'outdated': return OUTDATED_MS
     case 'noEndpoint': return NO_ENDPOINT_MS
     case 'noRoom': return NO_ROOM_MS
-    case 'busy': return BUSY_DELAYS * cause.delayMs
+    case 'busy': return BUSY_DELAY_FACTOR * cause.delayMs
     case 'quarantined': return QUARANTINED_MS
   }
 }
--- a/packages/forwarding/src/retryBudget.ts
+++ b/packages/forwarding/src/retryBudget.ts
@@ -1,63 +1,57 @@
 /**
- * How many second sends an entry instance may make. The whole fleet may send a service only so many requests again in any
- * window, or an outage of some endpoints becomes an overload of the rest; each instance keeps to its share of that without
- * asking anyone.
+ * Retry budget of an entry instance for one service. Bounds the retries of the fleet in a sliding window, so that the failure of
+ * some endpoints does not overload the others; each instance enforces its own share without coordination.
  */
 import * as numbers from './numbers.js'
 
-/** Bounds of the whole fleet. */
+/** Limits for the fleet. */
 export interface RetryBudgetOptions {
-  /** Second sends for each request. */
+  /** Retries for each request. */
   ratio: number
-  /** Length of the window, milliseconds. */
+  /** Length of the sliding window, in milliseconds. */
   windowMs: number
-  /** Second sends that are allowed on top in a window, for the whole fleet. */
+  /** Retries for each window that are allowed in addition, for the fleet. */
   slack: number
 }
 
-/** The second sends of one service from one entry instance. */
+/** Retry budget of one service at one entry instance. */
 export interface RetryBudget {
-  /** Notes a request. */
+  /** Counts a request towards the budget. */
   recordRequest (now: number): void
-  /** Takes one second send. @returns whether there was one left */
+  /** Takes one retry from the budget. @returns false if the budget is exhausted */
   trySpend (now: number, instances: number): boolean
 }
 
-/** Share of the bounds that is used: instances count windows that do not begin together. */
-const CAUTION = 0.8
+/** Share of the budget that is used; the windows of the instances are not aligned. */
+const SAFETY_SHARE = 0.8
 const SLOTS = 10
 
-/**
- * Creates a window without requests.
- * @param bounds bounds of the whole fleet
- * @returns the window
- */
-export function createRetryBudget (bounds: RetryBudgetOptions): RetryBudget {
-  const slotMs = bounds.windowMs / SLOTS
+export function createRetryBudget (opts: RetryBudgetOptions): RetryBudget {
+  const slotMs = opts.windowMs / SLOTS
   const requests = new Array<number>(SLOTS).fill(0)
-  const sends = new Array<number>(SLOTS).fill(0)
+  const retries = new Array<number>(SLOTS).fill(0)
   let slot = 0
 
-  const turn = (now: number): void => {
+  const advance = (now: number): void => {
     const current = Math.floor(now / slotMs)
     const steps = Math.min(SLOTS, current - slot)
     for (let i = 1; i <= steps; i++) {
       requests[(slot + i) % SLOTS] = 0
-      sends[(slot + i) % SLOTS] = 0
+      retries[(slot + i) % SLOTS] = 0
     }
     if (steps > 0) slot = current
   }
 
   return {
     recordRequest (now) {
-      turn(now)
+      advance(now)
       requests[slot % SLOTS]++
     },
     trySpend (now, instances) {
-      turn(now)
-      const allowed = CAUTION * (bounds.ratio * numbers.sum(requests) + bounds.slack / Math.max(1, instances))
-      if (numbers.sum(sends) + 1 > allowed) return false
-      sends[slot % SLOTS]++
+      advance(now)
+      const allowed = SAFETY_SHARE * (opts.ratio * numbers.sum(requests) + opts.slack / Math.max(1, instances))
+      if (numbers.sum(retries) + 1 > allowed) return false
+      retries[slot % SLOTS]++
       return true
     }
   }
--- a/packages/forwarding/src/routeTable.ts
+++ b/packages/forwarding/src/routeTable.ts
@@ -1,107 +1,106 @@
-/** The operators' document of the forwarding fleet: which requests go where, who may send them, and within which limits. */
+/** Configuration document of the forwarding fleet: routes, services, client accounts and limits. */
 import * as z from 'zod'
 import * as priorities from './priority.js'
 
 /**
- * What may be repeated: `idempotent` requests; `once` requests run at most once for each attempt of a client; `stream` answers
- * are event streams, which run at most once unless they may be resumed.
+ * Retry semantics of a route. `idempotent` requests may be retried; `once` requests run at most once for each client attempt; `stream`
+ * responses are event streams, which also run at most once unless they are resumable.
  */
 export const requestKind = z.enum(['idempotent', 'once', 'stream'])
-/** What may be repeated. */
+/** Retry semantics of a route. */
 export type RequestKind = z.infer<typeof requestKind>
 
-/** A share of a route's requests. */
+/** Share of the requests of a route that a service receives. */
 export const splitShare = z.object({ service: z.string(), weight: z.number().nonnegative() })
 
-/** Requests of one host under one path prefix. */
+/** Settings for the requests of one host under one path prefix. */
 export const route = z.object({
   name: z.string(),
   host: z.string(),
   pathPrefix: z.string(),
   kind: requestKind,
-  /** Whether a stream may go on at another endpoint after the last event that was delivered. */
+  /** Whether a broken stream may be resumed at another endpoint after the last delivered event. */
   isResumable: z.boolean(),
-  /** The longest that a request may wait for its answer, milliseconds. */
+  /** Timeout of a request, in milliseconds. */
   timeoutMs: z.number().positive(),
-  /** Within this time an answer is of full use, milliseconds. */
+  /** Target latency of a response in milliseconds, 0 without one. */
   targetMs: z.number().nonnegative(),
-  /** 0 is served first. */
+  /** Priority, 0 is the highest. */
   rank: z.number(),
   split: z.array(splitShare),
-  /** How many endpoints one attempt of a client may run on. */
+  /** Maximum number of endpoints that may run one client attempt. */
   maxAttempts: z.number().int().positive(),
-  /** Whether requests need no key. */
+  /** Whether requests are accepted without an API key. */
   isKeyless: z.boolean(),
-  /** Whether requests carry prompts, so that returning to the same endpoint saves work. */
+  /** Whether requests contain prompts and benefit from endpoint affinity. */
   hasPrompt: z.boolean()
 })
-/** Requests of one host under one path prefix. */
+/** Settings for the requests of one host under one path prefix. */
 export type Route = z.infer<typeof route>
 
-/** Endpoints that answer the same requests. */
+/** A group of equivalent endpoints. */
 export const service = z.object({
   name: z.string(),
-  /** Connections that one endpoint takes from all callers together. */
+  /** Maximum connections to one endpoint from all entry instances together. */
   maxConnections: z.number().positive(),
-  /** Whether an endpoint can copy what another one keeps of a prompt instead of reading it again. */
+  /** Whether endpoints can import KV cache entries from each other. */
   canFetch: z.boolean()
 })
-/** Endpoints that answer the same requests. */
+/** A group of equivalent endpoints. */
 export type Service = z.infer<typeof service>
 
-/** Who may send requests, and under which keys. */
+/** A client account and its API keys. */
 export const clientAccount = z.object({ name: z.string(), keys: z.array(z.string()), rank: z.number().nullable() })
-/** Who may send requests. */
+/** A client account and its API keys. */
 export type ClientAccount = z.infer<typeof clientAccount>
 
-/** What a client may send, and how long it may take. */
+/** Limits of client requests and connections. */
 export const clientLimits = z.object({
   maxHeaderBytes: z.number().positive(),
   maxBodyBytes: z.number().positive(),
   headerTimeoutMs: z.number().positive(),
   idleTimeoutMs: z.number().positive()
 })
-/** What a client may send, and how long it may take. */
+/** Limits of client requests and connections. */
 export type ClientLimits = z.infer<typeof clientLimits>
 
-/** One version of the document. */
+/** One version of the configuration document. */
 export const routeTable = z.object({
   version: z.number(),
   routes: z.array(route),
   services: z.array(service),
-  /** Absent where requests need no keys. */
+  /** null if requests need no API keys. */
   accounts: z.array(clientAccount).nullable(),
   limits: clientLimits
 })
-/** One version of the document. */
+/** One version of the configuration document. */
 export type RouteTable = z.infer<typeof routeTable>
 
-/** A document in the form that requests are looked up in. */
+/** Configuration document, indexed for request routing. */
 export interface CompiledTable {
   version: number
   limits: ClientLimits
   services: ReadonlyMap<string, Service>
-  /** Whether requests need keys at all. */
+  /** Whether requests need API keys. */
   hasAccounts: boolean
   accountOf: ReadonlyMap<string, ClientAccount>
-  /** The ranks that occur among client accounts and among routes whose requests carry prompts. */
+  /** Distinct ranks of client accounts, and of routes with prompts. */
   ranks: priorities.Ranks
-  /** Routes of a host, longest prefix first. */
+  /** Routes by host, longest prefix first. */
   routesOf: ReadonlyMap<string, readonly Route[]>
 }
 
 /**
- * Looks for what makes a document unusable although each field is well formed.
- * @param table the document
- * @returns what to correct, or undefined if it can be obeyed
+ * Checks the references between the fields of a document.
+ * @returns what to correct, or undefined if the document is valid
  */
 export function findTableError (table: RouteTable): string | undefined {
   const services = new Set(table.services.map(item => item.name))
-  const places = new Set<string>()
+  const matches = new Set<string>()
   for (const item of table.routes) {
-    const place = `${item.host.toLowerCase()} ${item.pathPrefix}`
-    if (places.has(place)) return `two routes share the host and prefix "${place}": remove one of them`
-    places.add(place)
+    const match = `${item.host.toLowerCase()} ${item.pathPrefix}`
+    if (matches.has(match)) return `two routes share the host and prefix "${match}": remove one of them`
+    matches.add(match)
     const unknown = item.split.find(share => !services.has(share.service))
     if (unknown !== undefined) return `route "${item.name}" names the unknown service "${unknown.service}": add the service or correct the route`
     if (item.split.reduce((sum, share) => sum + share.weight, 0) <= 0) return `the weights of route "${item.name}" add up to 0: give one a weight above 0`
@@ -109,19 +108,15 @@
   const keys = new Map<string, string>()
   for (const account of table.accounts ?? []) {
     for (const key of account.keys) {
-      const holder = keys.get(key)
-      if (holder !== undefined && holder !== account.name) return `the accounts "${holder}" and "${account.name}" share a key: give each its own`
+      const owner = keys.get(key)
+      if (owner !== undefined && owner !== account.name) return `the accounts "${owner}" and "${account.name}" share a key: give each its own`
       keys.set(key, account.name)
     }
   }
   return undefined
 }
 
-/**
- * Brings a document into the form that requests are looked up in.
- * @param table the document, without faults
- * @returns the look-ups
- */
+/** Indexes a valid document for request routing. */
 export function compileTable (table: RouteTable): CompiledTable {
   const routesOf = new Map<string, Route[]>()
   for (const item of table.routes) {
@@ -151,10 +146,7 @@
 
 /**
  * Finds the route of a request.
- * @param table the document in force
- * @param host the request's host, with or without a port
- * @param url the request's path with its query
- * @returns the route with the longest prefix, or undefined
+ * @returns the route with the longest matching prefix, or undefined
  */
 export function findRoute (table: CompiledTable, host: string, url: string): Route | undefined {
   const name = host.toLowerCase()
@@ -166,26 +158,20 @@
 }
 
 /**
- * Picks the service of a request by the route's weights.
- * @param item the route
+ * Picks the service of a request at random by the weights of its route.
  * @param draw a number in [0, 1)
- * @returns the service's name
  */
 export function pickService (item: Route, draw: number): string {
   const total = item.split.reduce((sum, share) => sum + share.weight, 0)
-  let left = draw * total
+  let remaining = draw * total
   for (const share of item.split) {
-    left -= share.weight
-    if (left < 0) return share.service
+    remaining -= share.weight
+    if (remaining < 0) return share.service
   }
   return item.split[item.split.length - 1].service
 }
 
-/**
- * Tells whether a request may run more than once.
- * @param item its route
- * @returns whether a second endpoint may run it after a first one may have
- */
+/** Returns whether the requests of a route may run more than once. */
 export function isRepeatable (item: Route): boolean {
   switch (item.kind) {
     case 'idempotent': return true
