--- a/packages/forwarding/__tests__/helpers/random.ts
+++ b/packages/forwarding/__tests__/helpers/random.ts
@@ -1,8 +1,8 @@
-/** Numbers that look random and are the same each time. */
+/** Seeded random numbers. */
 import * as uniform from 'pure-rand/distribution/uniformFloat64'
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus'
 
-/** @returns a source of numbers in [0, 1) */
+/** Returns a generator of numbers in [0, 1). */
 export function createRandom (seed: number): () => number {
   const generator = xoroshiro.xoroshiro128plus(seed)
   return () => uniform.uniformFloat64(generator)
--- a/packages/forwarding/__tests__/helpers/testEntry.ts
+++ b/packages/forwarding/__tests__/helpers/testEntry.ts
@@ -1,4 +1,4 @@
-/** An entry server in this process before endpoints that do as a test says. */
+/** In-process entry server with endpoints whose behaviour a test defines. */
 import * as http from 'node:http'
 import * as net from 'node:net'
 import * as discovery from '@kingcupdeck/discovery'
@@ -33,31 +33,30 @@
 export interface TestEndpoint {
   id: string
   address: string
-  /** Requests that came, newest last. */
-  seen: Array<{ method: string, url: string, headers: http.IncomingHttpHeaders, body: string, isClosed: () => boolean }>
+  /** Received requests, oldest first. */
+  requests: Array<{ method: string, url: string, headers: http.IncomingHttpHeaders, body: string, isClosed: () => boolean }>
   connections: () => number
-  /** Takes no further connections; those that are open stay so. */
-  refuse: () => void
+  /** Stops accepting connections; open ones are kept. */
+  stopListening: () => void
   close: () => void
 }
 
-/** What an endpoint does with a request whose body was read. */
+/** Request handler of a test endpoint, called after the body was read. */
 export type Behaviour = (req: http.IncomingMessage, res: http.ServerResponse, count: number) => void
 
-/** Answers as a sound endpoint does. */
-export const sound: Behaviour = (req, res) => {
+/** Sends a valid response. */
+export const healthy: Behaviour = (req, res) => {
   res.writeHead(200, { 'x-attempt': req.headers['x-attempt'] as string, 'x-seal': 's', 'content-length': 2 })
   res.end('ok')
 }
 
-/** Begins an event stream as a sound endpoint does. */
+/** Sends valid response headers of an event stream. */
 export function beginStream (req: http.IncomingMessage, res: http.ServerResponse): void {
   res.writeHead(200, { 'x-attempt': req.headers['x-attempt'] as string, 'x-seal': 's', 'content-type': 'text/event-stream' })
 }
 
-/** Starts an endpoint. */
 export async function startEndpoint (id: string, behave: Behaviour): Promise<TestEndpoint> {
-  const seen: TestEndpoint['seen'] = []
+  const requests: TestEndpoint['requests'] = []
   const sockets = new Set<net.Socket>()
   const server = http.createServer((req, res) => {
     let body = ''
@@ -65,8 +64,8 @@
     req.on('end', () => {
       let isClosed = false
       res.on('close', () => { isClosed = !res.writableFinished })
-      seen.push({ method: req.method ?? '', url: req.url ?? '', headers: req.headers, body, isClosed: () => isClosed })
-      behave(req, res, seen.length)
+      requests.push({ method: req.method ?? '', url: req.url ?? '', headers: req.headers, body, isClosed: () => isClosed })
+      behave(req, res, requests.length)
     })
   })
   server.on('connection', socket => {
@@ -78,9 +77,9 @@
   return {
     id,
     address,
-    seen,
+    requests,
     connections: () => sockets.size,
-    refuse () { server.close() },
+    stopListening () { server.close() },
     close () {
       server.close()
       for (const socket of sockets) socket.destroy()
@@ -88,7 +87,7 @@
   }
 }
 
-/** A route of the tests, with what a test changes. */
+/** Returns a route with default settings and the given changes. */
 export function toRoute (change: Partial<routeTables.Route> = {}): routeTables.Route {
   return {
     name: 'r',
@@ -107,60 +106,58 @@
   }
 }
 
-/** An entry server under test. */
 export interface TestEntry {
   address: string
   pool: endpointPools.EndpointPool
-  suspects: crashQuarantines.CrashQuarantine
-  outcomes: outlierDetectors.OutlierDetector
+  quarantine: crashQuarantines.CrashQuarantine
+  outliers: outlierDetectors.OutlierDetector
   server: entryServers.EntryServer
-  /** Lines of the log as events with their fields. */
+  /** Log events. */
   lines: Array<{ event: string } & { [field: string]: unknown }>
   announce: (endpoint: TestEndpoint, change?: Partial<discovery.EndpointRecord>) => void
-  /** Sends a request over a connection of its own. */
-  ask: (opts?: { method?: string, path?: string, headers?: http.OutgoingHttpHeaders, body?: string, /** Gives up after this time. */ leaveAfterMs?: number }) => Promise<TestAnswer>
-  /** Hands the entry its document, where it began without one. */
-  arrive: () => void
-  /** Tells the entry that it stops, and whether it still takes requests. */
-  stop: (mayTake: boolean) => void
+  /** Sends a request over a new connection. */
+  send: (opts?: { method?: string, path?: string, headers?: http.OutgoingHttpHeaders, body?: string, /** Disconnects after this time. */ disconnectAfterMs?: number }) => Promise<TestResponse>
+  /** Publishes the document, if the entry started without one. */
+  publishDocument: () => void
+  /** Starts draining, with or without accepting further requests. */
+  drain: (isAccepting: boolean) => void
   close: () => void
 }
 
-/** An answer as a client sees it. */
-export interface TestAnswer { status: number, headers: http.IncomingHttpHeaders, body: string, /** Whether the body came to its end. */ isWhole: boolean }
+/** A response as received by the client. */
+export interface TestResponse { status: number, headers: http.IncomingHttpHeaders, body: string, /** Whether the body is complete. */ isComplete: boolean }
 
-/** Starts an entry server. */
-export async function startEntry (routes: routeTables.Route[], endpoints: TestEndpoint[], opts: { accounts?: routeTables.ClientAccount[], retrySlack?: number, limits?: Partial<routeTables.ClientLimits>, /** Whether the entry has no document until {@link TestEntry.arrive}. */ isLate?: boolean } = {}): Promise<TestEntry> {
+export async function startEntry (routes: routeTables.Route[], endpoints: TestEndpoint[], opts: { accounts?: routeTables.ClientAccount[], retrySlack?: number, limits?: Partial<routeTables.ClientLimits>, /** Whether the entry has no document until {@link TestEntry.publishDocument}. */ startsWithoutDocument?: boolean } = {}): Promise<TestEntry> {
   const lines: TestEntry['lines'] = []
   const log = telemetry.createLog({ instance: 'test', json: true, write: line => { lines.push(JSON.parse(line)) } })
   const table = discovery.createRecordTable()
   const now = (): number => performance.now()
   const pool = endpointPools.createEndpointPool({ table, currentAt: now, currentSince: () => -Infinity, unresponsiveMs: 60_000, log })
-  const suspects = crashQuarantines.createCrashQuarantine()
-  const outcomes = outlierDetectors.createOutlierDetector()
+  const quarantine = crashQuarantines.createCrashQuarantine()
+  const outliers = outlierDetectors.createOutlierDetector()
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 100_000, headerTimeoutMs: 1000, idleTimeoutMs: 5000, ...opts.limits }
   const document = routeTables.compileTable({ version: 1, routes, services: [{ name: 'svc', maxConnections: 100, canFetch: true }], accounts: opts.accounts ?? null, limits })
   let isStopping = false
-  let mayTake = true
-  let hasDocument = opts.isLate !== true
-  const nextDocument = documentWaiters.createDocumentWaiters()
-  const windows = retryBudgets.createRetryBudget({ ratio: 0.2, windowMs: 10_000, slack: opts.retrySlack ?? 100 })
+  let isAccepting = true
+  let hasDocument = opts.startsWithoutDocument !== true
+  const waiters = documentWaiters.createDocumentWaiters()
+  const budget = retryBudgets.createRetryBudget({ ratio: 0.2, windowMs: 10_000, slack: opts.retrySlack ?? 100 })
   const ctx: entryContexts.EntryContext = {
     names: NAMES,
     zone: 'z1',
     pool,
-    quarantine: suspects,
-    outliers: outcomes,
+    quarantine,
+    outliers,
     gossip: { onUpdate: () => {}, sendCrashReports: () => {}, instanceCount: () => 1, stop: () => {} },
     metrics: entryMetrics.createEntryMetrics(),
     log,
     table: () => hasDocument ? document : undefined,
-    documentWaiters: nextDocument,
+    documentWaiters: waiters,
     isLatestDocument: () => true,
     newestDocument: () => 1,
-    retryBudget: () => windows,
+    retryBudget: () => budget,
     isDraining: () => isStopping,
-    isAccepted: () => mayTake,
+    isAccepted: () => isAccepting,
     now
   }
   const server = await entryServers.startEntryServer({ front: '127.0.0.1:0', ctx })
@@ -176,32 +173,32 @@
   return {
     address: server.address,
     pool,
-    suspects,
-    outcomes,
+    quarantine,
+    outliers,
     server,
     lines,
     announce,
-    async ask (req = {}) {
+    async send (req = {}) {
       const [host, port] = server.address.split(':')
       return await new Promise((resolve, reject) => {
-        const out = http.request({ host, port, agent: false, method: req.method ?? 'GET', path: req.path ?? '/a/x', headers: { host: 'test.example', 'x-attempt': `t${++attempts}`, 'x-deadline-ms': '2000', ...req.headers } }, res => {
+        const outgoing = http.request({ host, port, agent: false, method: req.method ?? 'GET', path: req.path ?? '/a/x', headers: { host: 'test.example', 'x-attempt': `t${++attempts}`, 'x-deadline-ms': '2000', ...req.headers } }, res => {
           let body = ''
           res.on('data', chunk => { body += String(chunk) })
           res.on('error', () => {})
-          res.on('close', () => { resolve({ status: res.statusCode ?? 0, headers: res.headers, body, isWhole: res.complete }) })
+          res.on('close', () => { resolve({ status: res.statusCode ?? 0, headers: res.headers, body, isComplete: res.complete }) })
         })
-        out.on('error', reject)
-        out.end(req.body)
-        if (req.leaveAfterMs !== undefined) setTimeout(() => { out.destroy(new Error('the client left')) }, req.leaveAfterMs)
+        outgoing.on('error', reject)
+        outgoing.end(req.body)
+        if (req.disconnectAfterMs !== undefined) setTimeout(() => { outgoing.destroy(new Error('the client left')) }, req.disconnectAfterMs)
       })
     },
-    arrive () {
+    publishDocument () {
       hasDocument = true
-      nextDocument.releaseAll()
+      waiters.releaseAll()
     },
-    stop (takes) {
+    drain (accepts) {
       isStopping = true
-      mayTake = takes
+      isAccepting = accepts
     },
     close () {
       server.stopListening()
--- a/packages/forwarding/__tests__/helpers/testFleet.ts
+++ b/packages/forwarding/__tests__/helpers/testFleet.ts
@@ -1,4 +1,4 @@
-/** Entry instances in this process that learn from a control instance that does as a test says. */
+/** In-process entry instances with control instances that a test controls. */
 import * as http from 'node:http'
 import * as net from 'node:net'
 import * as timers from 'node:timers/promises'
@@ -15,57 +15,55 @@
 const WAIT_MS = 10_000
 const TICK_MS = 250
 
-/** A control instance of a test. */
 export interface TestControl {
   inner: string
-  /** Holds and announces a document. */
+  /** Stores and announces a document. */
   put: (document: contracts.VersionedText) => void
-  /** From now on the document is asked for in vain, until {@link TestControl.release}. */
-  withhold: () => void
-  /** Answers those who asked meanwhile. */
-  release: () => void
-  /** Takes an endpoint's announcement. */
+  /** Blocks replies with the document until {@link TestControl.unblockDocuments}. */
+  blockDocuments: () => void
+  /** Sends the blocked replies. */
+  unblockDocuments: () => void
+  /** Publishes an endpoint record. */
   announce: (endpoint: helper.TestEndpoint) => Promise<void>
-  /** Ends all its links and takes no more. */
+  /** Closes all links and stops listening. */
   close: () => Promise<void>
 }
 
-/** Control instances that tell each other of entry instances, and not of documents. */
+/** Control instances that exchange records of entry instances, but no documents. */
 export type ControlGroup = Set<discovery.Publisher>
 
-/** Starts a control instance. */
 export async function startControl (group: ControlGroup = new Set()): Promise<TestControl> {
   const inner = await freeAddress()
-  let held: contracts.VersionedText | undefined
-  let isWithholding = false
-  const waiting: Array<() => void> = []
+  let stored: contracts.VersionedText | undefined
+  let isBlocking = false
+  const blocked: Array<() => void> = []
   const publisher = discovery.createPublisher({
     self: inner,
     table: discovery.createRecordTable(),
     peerAddresses: () => [],
-    getPeerLink: async () => { throw new Error('there are no others') },
-    version: () => held?.version ?? 0,
-    packDocumentSince: version => held === undefined || held.version <= version ? null : contracts.packFull(held),
+    getPeerLink: async () => { throw new Error('no other control instances') },
+    version: () => stored?.version ?? 0,
+    packDocumentSince: version => stored === undefined || stored.version <= version ? null : contracts.packFull(stored),
     isCurrent: () => true,
     log
   })
   group.add(publisher)
-  const spread = (list: discovery.Record[]): void => {
+  const broadcast = (list: discovery.Record[]): void => {
     for (const other of group) if (other !== publisher) void other.onCall({ t: 'records', list }, undefined as unknown as links.Link)
   }
   const handlers: links.LinkHandlers = {
     onEvent (body) {
       const event = discovery.discoveryEvent.parse(body)
       publisher.onEvent(event)
-      if (event.t === 'news') spread(event.list)
+      if (event.t === 'news') broadcast(event.list)
       if (event.t === 'tick') for (const other of group) other.onEvent({ t: 'signs', signs: event.signs })
     },
     async onCall (body, link) {
       const call = discovery.discoveryCall.parse(body)
-      if (call.t === 'subscribe') spread([call.self])
-      if (call.t === 'fetch' && isWithholding) await new Promise<void>(resolve => { waiting.push(resolve) })
+      if (call.t === 'subscribe') broadcast([call.self])
+      if (call.t === 'fetch' && isBlocking) await new Promise<void>(resolve => { blocked.push(resolve) })
       const reply = await publisher.onCall(call, link)
-      return isWithholding ? { ...reply, document: null } : reply
+      return isBlocking ? { ...reply, document: null } : reply
     }
   }
   const server = await links.listen(inner, { identity: { role: 'control', id: inner }, secret: SECRET, log, handlers }, () => {})
@@ -73,13 +71,13 @@
   return {
     inner,
     put (document) {
-      held = document
+      stored = document
       publisher.publishDocument()
     },
-    withhold () { isWithholding = true },
-    release () {
-      isWithholding = false
-      for (const answer of waiting.splice(0)) answer()
+    blockDocuments () { isBlocking = true },
+    unblockDocuments () {
+      isBlocking = false
+      for (const resume of blocked.splice(0)) resume()
     },
     announce: async ({ id, address }) => { await publisher.announce({ kind: 'endpoint', id, startedAt: 1, seq: 1, zone: 'z', state: 'ready', service: 'svc', address, slots: 8, coldMs: 0 }) },
     async close () {
@@ -89,21 +87,20 @@
   }
 }
 
-/** A document whose routes have these path prefixes. */
+/** Returns a document with one route for each path prefix. */
 export function toDocument (version: number, prefixes: string[]): contracts.VersionedText {
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 100_000, headerTimeoutMs: 1000, idleTimeoutMs: 5000 }
   const table: routeTables.RouteTable = { version, routes: prefixes.map(pathPrefix => helper.toRoute({ name: pathPrefix, pathPrefix })), services: [{ name: 'svc', maxConnections: 100, canFetch: false }], accounts: null, limits }
   return contracts.toVersionedText(version, Buffer.from(JSON.stringify(table)))
 }
 
-/** An entry instance of a test. */
 export interface TestInstance {
-  /** Sends a request. @returns its status, and when to come back */
-  ask: (path: string) => Promise<{ status: number, retryAfter: string | undefined }>
+  /** Sends a request. @returns its status and Retry-After */
+  send: (path: string) => Promise<{ status: number, retryAfter: string | undefined }>
   stop: () => Promise<void>
 }
 
-/** Starts an entry instance and waits until it has a document. */
+/** Starts an entry instance and waits until it is ready. */
 export async function startInstance (id: string, seeds: string[]): Promise<TestInstance> {
   const front = await freeAddress()
   const instance = await entryInstances.startEntryInstance({
@@ -128,7 +125,7 @@
   const [host, port] = front.split(':')
   return {
     stop: instance.stop,
-    ask: async path => await new Promise((resolve, reject) => {
+    send: async path => await new Promise((resolve, reject) => {
       http.get({ host, port, agent: false, path, headers: { host: 'test.example', 'x-attempt': 't1', 'x-deadline-ms': '2000' } }, res => {
         res.resume()
         res.on('end', () => { resolve({ status: res.statusCode ?? 0, retryAfter: res.headers['retry-after'] }) })
@@ -137,11 +134,11 @@
   }
 }
 
-/** Waits until something holds. */
-export async function until (what: string, holds: () => boolean | Promise<boolean>): Promise<void> {
+/** Polls until a condition is true. */
+export async function until (what: string, condition: () => boolean | Promise<boolean>): Promise<void> {
   const end = performance.now() + WAIT_MS
-  while (!await holds()) {
-    if (performance.now() > end) throw new Error(`waited in vain until ${what}`)
+  while (!await condition()) {
+    if (performance.now() > end) throw new Error(`timed out after ${WAIT_MS} ms waiting until ${what}`)
     await timers.setTimeout(20)
   }
 }
--- a/packages/forwarding/__tests__/spread.test.ts
+++ b/packages/forwarding/__tests__/loadBalancing.test.ts
@@ -1,15 +1,15 @@
-/** Short requests of a plain service before a few small endpoints, replayed against a model of them. */
+/** Simulation of load balancing without affinity: short requests on a few small endpoints. */
 import * as ava from 'ava'
 import * as chooseEndpoints from '../src/chooseEndpoint.js'
 import * as helper from './helpers/random.js'
 
 const test = ava.default
 
-interface Load { instances: number, endpoints: number, slots: number, perSecond: number, workMs: number, tellMs: number, lateMs: number }
-interface Replayed { late: number, refused: number, requests: number }
+interface Load { instances: number, endpoints: number, slots: number, perSecond: number, workMs: number, gossipIntervalMs: number, lateMs: number }
+interface SimulationResult { late: number, refused: number, requests: number }
 type Choose = (candidates: chooseEndpoints.Candidate[], zone: string, draw: number) => string
 
-const QUEUE = 24
+const MAX_QUEUE = 24
 const SECONDS = 20
 const ZONES = 3
 
@@ -17,16 +17,16 @@
 interface Model { running: Array<{ work: Work, endsAt: number }>, queue: Work[], speed: number }
 
 /**
- * Plays a load in steps of a millisecond. Endpoints differ in speed and queue what they have no place for, up to a length;
- * instances tell each other what they have under way every so often.
+ * Simulates a load in steps of a millisecond. Endpoints differ in speed and have bounded queues; instances exchange their loads
+ * periodically.
  */
-function replay (load: Load, choose: Choose, seed: number): Replayed {
+function simulate (load: Load, choose: Choose, seed: number): SimulationResult {
   const random = helper.createRandom(seed)
   const models: Model[] = Array.from({ length: load.endpoints }, (_, i) => ({ running: [], queue: [], speed: 0.85 + 0.3 * i / Math.max(1, load.endpoints - 1) }))
   const own = Array.from({ length: load.instances }, () => new Array<number>(load.endpoints).fill(0))
-  const told = own.map(item => [...item])
-  const sumTold = new Array<number>(load.endpoints).fill(0)
-  const result: Replayed = { late: 0, refused: 0, requests: 0 }
+  const gossiped = own.map(item => [...item])
+  const gossipedSum = new Array<number>(load.endpoints).fill(0)
+  const result: SimulationResult = { late: 0, refused: 0, requests: 0 }
   for (let now = 0; now < SECONDS * 1000; now++) {
     for (const [i, model] of models.entries()) {
       for (const { work } of model.running.filter(item => item.endsAt <= now)) {
@@ -41,10 +41,10 @@
       }
     }
     for (let k = 0; k < load.instances; k++) {
-      if ((now + k * 37) % load.tellMs !== 0) continue
+      if ((now + k * 37) % load.gossipIntervalMs !== 0) continue
       for (let i = 0; i < load.endpoints; i++) {
-        sumTold[i] += own[k][i] - told[k][i]
-        told[k][i] = own[k][i]
+        gossipedSum[i] += own[k][i] - gossiped[k][i]
+        gossiped[k][i] = own[k][i]
       }
     }
     if (random() >= load.perSecond / 1000) continue
@@ -52,7 +52,7 @@
     const candidates = models.map((_, i): chooseEndpoints.Candidate => ({
       id: String(i),
       zone: `z${i % ZONES}`,
-      load: own[instance][i] + sumTold[i] - told[instance][i],
+      load: own[instance][i] + gossipedSum[i] - gossiped[instance][i],
       ownInFlight: own[instance][i],
       slots: load.slots,
       isCold: false,
@@ -61,7 +61,7 @@
       ageMs: Infinity
     }))
     const chosen = Number(choose(candidates, `z${instance % ZONES}`, random()))
-    if (models[chosen].queue.length >= QUEUE) {
+    if (models[chosen].queue.length >= MAX_QUEUE) {
       result.requests++
       result.refused++
       continue
@@ -77,33 +77,32 @@
   return choice.kind === 'chosen' ? choice.id : ''
 }
 
-/** The rule before: the least loaded by what all instances told last, of the own zone while that seems to have room. */
-const byTold: Choose = (candidates, zone, draw) => {
+/** Baseline: the least loaded endpoint by gossiped loads, preferring the availability zone of the instance. */
+const byGossip: Choose = (candidates, zone, draw) => {
   const mean = candidates.reduce((sum, item) => sum + item.load, 0) / candidates.length
-  const near = candidates.filter(item => item.zone === zone && item.load + 1 <= Math.min(1.5 * mean + 2.5, item.slots))
-  const pool = near.length > 0 ? near : candidates
-  const least = Math.min(...pool.map(item => item.load))
-  const equals = pool.filter(item => item.load < least + 1)
-  return equals[Math.floor(draw * equals.length)].id
+  const sameZone = candidates.filter(item => item.zone === zone && item.load + 1 <= Math.min(1.5 * mean + 2.5, item.slots))
+  const pool = sameZone.length > 0 ? sameZone : candidates
+  const lowest = Math.min(...pool.map(item => item.load))
+  const tied = pool.filter(item => item.load < lowest + 1)
+  return tied[Math.floor(draw * tied.length)].id
 }
 
 function toShare (load: Load, choose: Choose): number {
-  const plays = [1, 2, 3].map(seed => replay(load, choose, seed))
-  return plays.reduce((sum, item) => sum + (item.late + item.refused) / item.requests, 0) / plays.length
+  const results = [1, 2, 3].map(seed => simulate(load, choose, seed))
+  return results.reduce((sum, item) => sum + (item.late + item.refused) / item.requests, 0) / results.length
 }
 
-// A market day: sales come in at 64 instances, and five endpoints have room for all of them. Seven of ten places are taken, yet
-// a third of the sales were late or refused: all instances ran after the same news, a second old.
-test('many instances spread short requests over endpoints that have room', t => {
-  const load: Load = { instances: 64, endpoints: 5, slots: 6, perSecond: 300, workMs: 71, tellMs: 1160, lateMs: 330 }
-  const before = toShare(load, byTold)
-  const after = toShare(load, byOwn)
-  t.true(before > 0.25, `${before} by what was told`)
-  t.true(after < 0.03, `${after} by what each has under way`)
+// Guards against all instances selecting the same endpoint by outdated gossip.
+test('many instances spread short requests evenly over endpoints', t => {
+  const load: Load = { instances: 64, endpoints: 5, slots: 6, perSecond: 300, workMs: 71, gossipIntervalMs: 1160, lateMs: 330 }
+  const baseline = toShare(load, byGossip)
+  const current = toShare(load, byOwn)
+  t.true(baseline > 0.25, `${baseline} by gossiped loads`)
+  t.true(current < 0.03, `${current} by own requests in flight`)
 })
 
-test('a few instances leave no request waiting long at eight tenths of the places', t => {
-  const load: Load = { instances: 8, endpoints: 3, slots: 6, perSecond: 330, workMs: 43, tellMs: 300, lateMs: 185 }
+test('few requests are late at high utilization', t => {
+  const load: Load = { instances: 8, endpoints: 3, slots: 6, perSecond: 330, workMs: 43, gossipIntervalMs: 300, lateMs: 185 }
   const share = toShare(load, byOwn)
-  t.true(share < 0.01, `${share} late or refused`)
+  t.true(share < 0.01, `${share} late or rejected`)
 })
--- a/packages/forwarding/__tests__/overload.test.ts
+++ b/packages/forwarding/__tests__/overload.test.ts
@@ -1,4 +1,4 @@
-/** More requests with prompts than the endpoints can begin in time, replayed before model engines. */
+/** Simulation of overload: more requests with prompts than the engines can serve in time. */
 import * as ava from 'ava'
 import * as engineModels from './helpers/engineModel.js'
 
@@ -9,8 +9,8 @@
   { name: 'note', perSecond: 26, sharedTokens: 700, ownTokens: 130, outTokens: 290, subjects: 120, targetMs: 800, worth: 1.1 },
   { name: 'tag', perSecond: 32, sharedTokens: 2000, ownTokens: 360, outTokens: 25, subjects: 120, targetMs: 1200, worth: 0.33 }
 ]
-const BEFORE: engineModels.Policy = { isBounded: false, isImpatient: true }
-const NOW: engineModels.Policy = { isBounded: true, isImpatient: false }
+const BASELINE: engineModels.Policy = { rejectsLateRequests: false, movesSlowRequests: true }
+const CURRENT: engineModels.Policy = { rejectsLateRequests: true, movesSlowRequests: false }
 const SEEDS = [1, 2]
 const LONG_BURST: engineModels.Load = {
   kinds: KINDS,
@@ -19,28 +19,27 @@
   isLost: (engine, second) => engine < 3 && second > 6 && second < 14
 }
 
-function share (list: engineModels.Served[], part: (item: engineModels.Served) => number, whole: (item: engineModels.Served) => number): number {
-  const sum = (get: (item: engineModels.Served) => number): number => list.reduce((total, item) => total + get(item), 0)
-  return sum(part) / sum(whole)
+function share (list: engineModels.SimulationResult[], numerator: (item: engineModels.SimulationResult) => number, denominator: (item: engineModels.SimulationResult) => number): number {
+  const sum = (get: (item: engineModels.SimulationResult) => number): number => list.reduce((total, item) => total + get(item), 0)
+  return sum(numerator) / sum(denominator)
 }
 
-// Callers multiply while three of eight engines are lost. All requests are sent, each waits behind all before it, those that
-// wait long are sent elsewhere and read there once more, and a third of them end without any answer.
-test('what would begin late is refused while engines are lost, and what is sent begins in time', t => {
-  const before = SEEDS.map(seed => engineModels.play(LONG_BURST, BEFORE, seed))
-  const now = SEEDS.map(seed => engineModels.play(LONG_BURST, NOW, seed))
-  const credit = (list: engineModels.Served[]): number => share(list, item => item.credit, item => item.owed)
-  const figures = [before, now].map(list => `credit ${credit(list).toFixed(3)}, in time ${share(list, item => item.inTime, item => item.asked).toFixed(3)}, late ${share(list, item => item.late, item => item.asked).toFixed(3)}, failed ${share(list, item => item.failed, item => item.asked).toFixed(3)}, refused ${share(list, item => item.refused, item => item.asked).toFixed(3)}`)
+// Guards against growing queues, and against prompts that are processed repeatedly, when engines are lost under load.
+test('requests that would begin late are rejected while engines are lost, and the others begin in time', t => {
+  const baseline = SEEDS.map(seed => engineModels.simulate(LONG_BURST, BASELINE, seed))
+  const current = SEEDS.map(seed => engineModels.simulate(LONG_BURST, CURRENT, seed))
+  const credit = (list: engineModels.SimulationResult[]): number => share(list, item => item.credit, item => item.maxCredit)
+  const figures = [baseline, current].map(list => `credit ${credit(list).toFixed(3)}, in time ${share(list, item => item.inTime, item => item.requests).toFixed(3)}, late ${share(list, item => item.late, item => item.requests).toFixed(3)}, failed ${share(list, item => item.failed, item => item.requests).toFixed(3)}, refused ${share(list, item => item.refused, item => item.requests).toFixed(3)}`)
   t.log(figures.join('; '))
-  const inTime = (list: engineModels.Served[]): number => share(list, item => item.inTime, item => item.asked)
-  const failed = (list: engineModels.Served[]): number => share(list, item => item.failed, item => item.asked)
-  t.true(credit(now) > credit(before))
-  t.true(inTime(now) > inTime(before) + 0.1)
-  t.true(failed(now) < failed(before) / 2)
-  const firsts = now.flatMap(item => item.firstMs).sort((a, b) => a - b)
-  t.true(firsts[Math.floor(firsts.length / 2)] < 800)
+  const inTime = (list: engineModels.SimulationResult[]): number => share(list, item => item.inTime, item => item.requests)
+  const failed = (list: engineModels.SimulationResult[]): number => share(list, item => item.failed, item => item.requests)
+  t.true(credit(current) > credit(baseline))
+  t.true(inTime(current) > inTime(baseline) + 0.1)
+  t.true(failed(current) < failed(baseline) / 2)
+  const sortedFirstMs = current.flatMap(item => item.firstMs).sort((a, b) => a - b)
+  t.true(sortedFirstMs[Math.floor(sortedFirstMs.length / 2)] < 800)
 })
 
-test('nothing is refused at the usual load', t => {
-  for (const seed of SEEDS) t.is(engineModels.play({ ...LONG_BURST, seconds: 8, factor: () => 1, isLost: () => false }, NOW, seed).refused, 0)
+test('no request is rejected at normal load', t => {
+  for (const seed of SEEDS) t.is(engineModels.simulate({ ...LONG_BURST, seconds: 8, factor: () => 1, isLost: () => false }, CURRENT, seed).refused, 0)
 })
--- a/packages/forwarding/__tests__/queueDelay.test.ts
+++ b/packages/forwarding/__tests__/queueDelay.test.ts
@@ -1,84 +1,82 @@
-/** How long requests wait at an endpoint, as an instance sees it. */
+/** Queue delay estimates. */
 import * as ava from 'ava'
 import * as queueDelays from '../src/queueDelay.js'
 
 const test = ava.default
 
-/** Answers requests that were sent one after the other, each after so long. */
-function answerEach (meter: queueDelays.QueueDelayEstimator, from: number, waitsMs: readonly number[]): number {
+/** Sends requests one after the other, each answered after the given time. Returns the time of the last response. */
+function respondEach (estimator: queueDelays.QueueDelayEstimator, from: number, waitsMs: readonly number[]): number {
   let now = from
   for (const ms of waitsMs) {
-    const wait = meter.onSent(now)
+    const pending = estimator.onSent(now)
     now += ms
-    meter.onResponse(wait, now)
+    estimator.onResponse(pending, now)
   }
   return now
 }
 
-test('nothing is expected where nothing was seen', t => {
-  const meter = queueDelays.createQueueDelayEstimator()
-  t.is(meter.estimateMs(0), undefined)
-  meter.onAbandoned(meter.onSent(0))
-  t.is(meter.estimateMs(10), undefined)
+test('there is no estimate without observations', t => {
+  const estimator = queueDelays.createQueueDelayEstimator()
+  t.is(estimator.estimateMs(0), undefined)
+  estimator.onAbandoned(estimator.onSent(0))
+  t.is(estimator.estimateMs(10), undefined)
 })
 
-// One packet of an answer is lost, and it comes a second late. An instance that took that for a queue would turn callers away
-// from an idle endpoint.
-test('one answer that comes late is no queue, nor is one request that waits', t => {
-  const meter = queueDelays.createQueueDelayEstimator()
-  const now = answerEach(meter, 0, [60, 1100, 60])
-  t.true((meter.estimateMs(now) ?? 0) <= 60)
-  meter.onSent(now)
-  t.true((meter.estimateMs(now + 600) ?? 0) <= 60)
+// Guards against rejecting requests to an idle endpoint after a single retransmission.
+test('neither one late response nor one pending request counts as a queue', t => {
+  const estimator = queueDelays.createQueueDelayEstimator()
+  const now = respondEach(estimator, 0, [60, 1100, 60])
+  t.true((estimator.estimateMs(now) ?? 0) <= 60)
+  estimator.onSent(now)
+  t.true((estimator.estimateMs(now + 600) ?? 0) <= 60)
 })
 
-// An endpoint reads the prompts of those that crashed beside it. Nothing is answered for a second; all that time requests were
-// sent to it and waited.
-test('requests that wait without an answer show a queue', t => {
-  const meter = queueDelays.createQueueDelayEstimator()
-  answerEach(meter, 0, [60, 60, 60])
-  meter.onSent(200)
-  meter.onSent(220)
-  t.true((meter.estimateMs(900) ?? 0) >= 680)
+// Guards against an estimate that ignores requests without a response.
+test('pending requests without responses count as a queue', t => {
+  const estimator = queueDelays.createQueueDelayEstimator()
+  respondEach(estimator, 0, [60, 60, 60])
+  estimator.onSent(200)
+  estimator.onSent(220)
+  t.true((estimator.estimateMs(900) ?? 0) >= 680)
 })
 
-test('a queue shows while it grows, by the pace of answers', t => {
-  const meter = queueDelays.createQueueDelayEstimator()
-  const now = answerEach(meter, 0, [50, 50, 50, 50])
-  for (let i = 0; i < 20; i++) meter.onSent(now)
-  t.true((meter.estimateMs(now) ?? 0) >= 900)
+test('a growing queue is estimated from the interval between responses', t => {
+  const estimator = queueDelays.createQueueDelayEstimator()
+  const now = respondEach(estimator, 0, [50, 50, 50, 50])
+  for (let i = 0; i < 20; i++) estimator.onSent(now)
+  t.true((estimator.estimateMs(now) ?? 0) >= 900)
 })
 
-test('a request that was overtaken shows no queue', t => {
-  const meter = queueDelays.createQueueDelayEstimator()
-  const first = meter.onSent(0)
-  const second = meter.onSent(1)
-  t.is(meter.classify(first), 'unresponsive')
-  meter.onResponse(meter.onSent(100), 150)
-  t.true((meter.estimateMs(900) ?? 0) < 200)
-  t.is(meter.classify(first), 'overtaken')
-  t.is(meter.classify(second), 'overtaken')
+test('an overtaken request does not count as a queue', t => {
+  const estimator = queueDelays.createQueueDelayEstimator()
+  const first = estimator.onSent(0)
+  const second = estimator.onSent(1)
+  t.is(estimator.classify(first), 'unresponsive')
+  estimator.onResponse(estimator.onSent(100), 150)
+  t.true((estimator.estimateMs(900) ?? 0) < 200)
+  t.is(estimator.classify(first), 'overtaken')
+  t.is(estimator.classify(second), 'overtaken')
 })
 
-test('an answer to an earlier request keeps the later ones in their places', t => {
-  const meter = queueDelays.createQueueDelayEstimator()
-  const first = meter.onSent(0)
-  const second = meter.onSent(100)
-  meter.onResponse(first, 2000)
-  t.is(meter.classify(second), 'queued')
+test('a request stays queued while earlier ones are answered', t => {
+  const estimator = queueDelays.createQueueDelayEstimator()
+  const first = estimator.onSent(0)
+  const second = estimator.onSent(100)
+  estimator.onResponse(first, 2000)
+  t.is(estimator.classify(second), 'queued')
 })
 
-test('what was seen long ago says nothing of now', t => {
-  const meter = queueDelays.createQueueDelayEstimator()
-  const now = answerEach(meter, 0, [900, 900, 900])
-  t.true((meter.estimateMs(now) ?? 0) >= 900)
-  t.is(meter.estimateMs(now + 1000), undefined)
-  meter.onSent(now + 20_000)
-  meter.onSent(now + 20_000)
-  t.is(meter.estimateMs(now + 20_000), 0)
+test('old observations are ignored', t => {
+  const estimator = queueDelays.createQueueDelayEstimator()
+  const now = respondEach(estimator, 0, [900, 900, 900])
+  t.true((estimator.estimateMs(now) ?? 0) >= 900)
+  t.is(estimator.estimateMs(now + 1000), undefined)
+  estimator.onSent(now + 20_000)
+  estimator.onSent(now + 20_000)
+  t.is(estimator.estimateMs(now + 20_000), 0)
 })
 
-test('the limit follows the target, and there is none without one', t => {
+test('the maximum delay follows the target latency, and is unlimited without one', t => {
   t.is(queueDelays.toDelayLimitMs(800), 560)
   t.is(queueDelays.toDelayLimitMs(0), Infinity)
 })
