--- a/packages/forwarding/__tests__/helpers/testEntry.ts
+++ b/packages/forwarding/__tests__/helpers/testEntry.ts
@@ -4,13 +4,13 @@
 import * as discovery from '@kingcupdeck/discovery'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as crashQuarantines from '../../src/crashQuarantine.js'
-import * as outlierDetectors from '../../src/outlierDetector.js'
+import * as documentWaiters from '../../src/documentWaiters.js'
 import * as endpointPools from '../../src/endpointPool.js'
 import * as entryContexts from '../../src/entryContext.js'
 import * as entryMetrics from '../../src/entryMetrics.js'
 import * as entryServers from '../../src/entryServer.js'
-import * as documentWaiters from '../../src/documentWaiters.js'
 import type * as headerNames from '../../src/headerNames.js'
+import * as outlierDetectors from '../../src/outlierDetector.js'
 import * as retryBudgets from '../../src/retryBudget.js'
 import * as routeTables from '../../src/routeTable.js'
 
@@ -137,7 +137,7 @@
   const outliers = outlierDetectors.createOutlierDetector()
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 100_000, headerTimeoutMs: 1000, idleTimeoutMs: 5000, ...opts.limits }
   const document = routeTables.compileTable({ version: 1, routes, services: [{ name: 'svc', maxConnections: 100, canFetch: true }], accounts: opts.accounts ?? null, limits })
-  let isStopping = false
+  let isDraining = false
   let isAccepting = true
   let hasDocument = opts.startsWithoutDocument !== true
   const waiters = documentWaiters.createDocumentWaiters()
@@ -156,7 +156,7 @@
     isLatestDocument: () => true,
     newestDocument: () => 1,
     retryBudget: () => budget,
-    isDraining: () => isStopping,
+    isDraining: () => isDraining,
     isAccepted: () => isAccepting,
     now
   }
@@ -197,7 +197,7 @@
       waiters.releaseAll()
     },
     drain (accepts) {
-      isStopping = true
+      isDraining = true
       isAccepting = accepts
     },
     close () {
--- a/packages/forwarding/src/admission.ts
+++ b/packages/forwarding/src/admission.ts
@@ -1,6 +1,6 @@
 /** Admission checks on the headers of a request: size, route, API key and attempt id. */
-import * as headerNames from './headerNames.js'
 import * as clientCalls from './clientCall.js'
+import * as headerNames from './headerNames.js'
 import * as routeTables from './routeTable.js'
 
 /** Request line and headers of a request. */
@@ -40,7 +40,7 @@
   const attemptId = findHeader(head.rawHeaders, names.attemptId)
   if (attemptId === undefined || !ATTEMPT_ID.test(attemptId)) return reject(400, `send an attempt id of 1 to 200 printable ASCII characters in ${names.attemptId}`)
   const key = findHeader(head.rawHeaders, names.key)
-  const account = key === undefined ? undefined : table.accountOf.get(key)
+  const account = key === undefined ? undefined : table.accountByKey.get(key)
   if (table.hasAccounts && !route.isKeyless && account === undefined) return reject(401, `send a valid API key in ${names.key}`)
   return { kind: 'admitted', route, account, attemptId, clientDeadlineMs: toClientDeadlineMs(head.rawHeaders, names) }
 }
--- a/packages/forwarding/src/attemptRecorder.ts
+++ b/packages/forwarding/src/attemptRecorder.ts
@@ -1,9 +1,9 @@
 /** Records the results of attempts: in the request log, the metrics, the endpoint pool, outlier detection and crash quarantine. */
 import type * as attempts from './attempt.js'
 import * as clientCalls from './clientCall.js'
-import * as requestStates from './requestState.js'
 import * as endpointPools from './endpointPool.js'
 import * as endpointProbes from './endpointProbe.js'
+import * as requestStates from './requestState.js'
 
 /** A response that is missing for this multiple of the target latency counts as missed, also if the client disconnected. */
 const UNRESPONSIVE_TARGETS = 2
--- a/packages/forwarding/src/entryContext.ts
+++ b/packages/forwarding/src/entryContext.ts
@@ -1,12 +1,12 @@
 /** State that all requests of an entry instance share. */
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as crashQuarantines from './crashQuarantine.js'
-import * as outlierDetectors from './outlierDetector.js'
+import * as documentWaiters from './documentWaiters.js'
 import * as endpointPools from './endpointPool.js'
 import * as entryMetrics from './entryMetrics.js'
 import * as headerNames from './headerNames.js'
-import * as documentWaiters from './documentWaiters.js'
 import * as loadGossips from './loadGossip.js'
+import * as outlierDetectors from './outlierDetector.js'
 import * as retryBudgets from './retryBudget.js'
 import * as routeTables from './routeTable.js'
 
--- a/packages/forwarding/src/entryInstance.ts
+++ b/packages/forwarding/src/entryInstance.ts
@@ -8,17 +8,17 @@
 import * as links from '@kingcupdeck/links'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as crashQuarantines from './crashQuarantine.js'
-import * as outlierDetectors from './outlierDetector.js'
+import * as documentWaiters from './documentWaiters.js'
+import * as draining from './draining.js'
 import * as endpointPools from './endpointPool.js'
 import * as entryContexts from './entryContext.js'
 import * as entryMetrics from './entryMetrics.js'
 import * as entryServers from './entryServer.js'
 import * as headerNames from './headerNames.js'
-import * as documentWaiters from './documentWaiters.js'
 import * as loadGossips from './loadGossip.js'
+import * as outlierDetectors from './outlierDetector.js'
 import * as retryBudgets from './retryBudget.js'
 import * as routeTables from './routeTable.js'
-import * as draining from './draining.js'
 
 /** Options of {@link startEntryInstance}. */
 export interface EntryInstanceOptions {
@@ -101,7 +101,7 @@
   let document: routeTables.CompiledTable | undefined
   let drainStartedAt: number | undefined
   let seq = 0
-  const retryOf = new Map<string, retryBudgets.RetryBudget>()
+  const budgetByService = new Map<string, retryBudgets.RetryBudget>()
 
   const self = (): discovery.EntryRecord => ({
     kind: 'entry',
@@ -137,7 +137,7 @@
       server.applyLimits(document.limits)
       metrics.documentVersion.set(document.version)
       waiters.releaseAll()
-      log.event('documentInForce', { version: document.version, waitedMs: Math.round(waitedMs), routes: [...document.routesOf.values()].reduce((sum, list) => sum + list.length, 0) })
+      log.event('documentInForce', { version: document.version, waitedMs: Math.round(waitedMs), routes: [...document.routesByHost.values()].reduce((sum, list) => sum + list.length, 0) })
     } catch (err) {
       log.event('documentUnreadable', { version: received.version, detail: err instanceof Error ? err.message : String(err) })
     }
@@ -177,10 +177,10 @@
     newestDocument: () => subscriber.newestVersion(),
     documentWaiters: waiters,
     retryBudget (service) {
-      const known = retryOf.get(service)
+      const known = budgetByService.get(service)
       if (known !== undefined) return known
       const created = retryBudgets.createRetryBudget(opts.retryBudget)
-      retryOf.set(service, created)
+      budgetByService.set(service, created)
       return created
     },
     isDraining: () => drainStartedAt !== undefined,
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -2,20 +2,20 @@
  * Sends a request to endpoints until one responds or no further attempt is allowed, and relays the response. A request that may run
  * only once is never retried after an endpoint may have started to run it, and is reported as not run only if no endpoint ran it.
  */
-import * as clientResponses from './clientResponse.js'
 import * as attempts from './attempt.js'
 import * as attemptRecorders from './attemptRecorder.js'
+import * as attemptWatchdogs from './attemptWatchdog.js'
 import * as clientCalls from './clientCall.js'
-import * as requestStates from './requestState.js'
+import * as clientResponses from './clientResponse.js'
 import * as crashQuarantines from './crashQuarantine.js'
-import * as queueDelays from './queueDelay.js'
 import * as endpointPools from './endpointPool.js'
 import * as outgoingRequests from './outgoingRequest.js'
-import * as selectEndpoints from './selectEndpoint.js'
+import * as priorities from './priority.js'
+import * as queueDelays from './queueDelay.js'
 import * as relayStreams from './relayStream.js'
+import * as requestStates from './requestState.js'
 import * as resumeStreams from './resumeStream.js'
-import * as attemptWatchdogs from './attemptWatchdog.js'
-import * as priorities from './priority.js'
+import * as selectEndpoints from './selectEndpoint.js'
 
 /** Response timeout of a retryable attempt, as a share of the remaining time. */
 const RESPONSE_TIMEOUT_SHARE = 0.4
--- a/packages/forwarding/src/loadGossip.ts
+++ b/packages/forwarding/src/loadGossip.ts
@@ -7,9 +7,9 @@
 import * as discovery from '@kingcupdeck/discovery'
 import * as links from '@kingcupdeck/links'
 import * as crashQuarantines from './crashQuarantine.js'
-import * as outlierDetectors from './outlierDetector.js'
 import * as endpointPools from './endpointPool.js'
 import * as numbers from './numbers.js'
+import * as outlierDetectors from './outlierDetector.js'
 
 /** Gossip update of an entry instance. */
 export const gossipUpdate = z.object({
--- a/packages/forwarding/src/outlierDetector.ts
+++ b/packages/forwarding/src/outlierDetector.ts
@@ -65,7 +65,7 @@
     statsById.set(endpoint, stats)
   }
 
-  /** Returns the endpoints with clearly more missed attempts than all other endpoints together. */
+  /** Returns the endpoints with a clearly higher share of missed attempts than all other endpoints together. */
   const detect = (statsById: Map<string, AttemptStats>, endpoints: readonly OutlierCandidate[], now: number): Set<string> => {
     const currentStats = new Map(endpoints.map(item => [item.id, decay(statsById, item.id, now)]))
     const attempts = numbers.sum([...currentStats.values()].map(item => item.attempts))
--- a/packages/forwarding/src/queueDelay.ts
+++ b/packages/forwarding/src/queueDelay.ts
@@ -1,6 +1,6 @@
 /**
  * Estimates the queue delay of an endpoint: the time until the response to the next request begins. Announced free slots do not show
- * a queue of unread prompts, so the estimate is based on the waiting times of this instance's own requests, and on their number times
+ * a queue of unprocessed prompts, so the estimate is based on the waiting times of this instance's own requests, and on their number times
  * the interval between responses, which detects a growing queue earlier.
  */
 
--- a/packages/forwarding/src/relayStream.ts
+++ b/packages/forwarding/src/relayStream.ts
@@ -3,8 +3,8 @@
  * events are relayed, so that the stream can be resumed after the last one.
  */
 import * as http from 'node:http'
-import * as attempts from './attempt.js'
 import * as abortResponses from './abortResponse.js'
+import * as attempts from './attempt.js'
 import * as clientCalls from './clientCall.js'
 import * as endpointPools from './endpointPool.js'
 import * as eventBatchers from './eventBatcher.js'
--- a/packages/forwarding/src/requestState.ts
+++ b/packages/forwarding/src/requestState.ts
@@ -1,6 +1,6 @@
 /** Retry state of a request: where it was sent, and how many endpoints may have run it. */
-import type * as clientResponses from './clientResponse.js'
 import type * as clientCalls from './clientCall.js'
+import type * as clientResponses from './clientResponse.js'
 import * as routeTables from './routeTable.js'
 
 /** Retry state of a request. */
--- a/packages/forwarding/src/routeTable.ts
+++ b/packages/forwarding/src/routeTable.ts
@@ -83,11 +83,11 @@
   services: ReadonlyMap<string, Service>
   /** Whether requests need API keys. */
   hasAccounts: boolean
-  accountOf: ReadonlyMap<string, ClientAccount>
+  accountByKey: ReadonlyMap<string, ClientAccount>
   /** Distinct ranks of client accounts, and of routes with prompts. */
   ranks: priorities.Ranks
   /** Routes by host, longest prefix first. */
-  routesOf: ReadonlyMap<string, readonly Route[]>
+  routesByHost: ReadonlyMap<string, readonly Route[]>
 }
 
 /**
@@ -118,29 +118,29 @@
 
 /** Indexes a valid document for request routing. */
 export function compileTable (table: RouteTable): CompiledTable {
-  const routesOf = new Map<string, Route[]>()
+  const routesByHost = new Map<string, Route[]>()
   for (const item of table.routes) {
     const host = item.host.toLowerCase()
-    const list = routesOf.get(host) ?? []
+    const list = routesByHost.get(host) ?? []
     list.push(item)
-    routesOf.set(host, list)
+    routesByHost.set(host, list)
   }
-  for (const list of routesOf.values()) list.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length)
-  const accountOf = new Map<string, ClientAccount>()
+  for (const list of routesByHost.values()) list.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length)
+  const accountByKey = new Map<string, ClientAccount>()
   for (const account of table.accounts ?? []) {
-    for (const key of account.keys) accountOf.set(key, account)
+    for (const key of account.keys) accountByKey.set(key, account)
   }
   return {
     version: table.version,
     limits: table.limits,
     services: new Map(table.services.map(item => [item.name, item])),
     hasAccounts: table.accounts !== null,
-    accountOf,
+    accountByKey,
     ranks: {
       accounts: priorities.toDistinctRanks((table.accounts ?? []).map(item => item.rank)),
       routes: priorities.toDistinctRanks(table.routes.filter(item => item.hasPrompt).map(item => item.rank))
     },
-    routesOf
+    routesByHost
   }
 }
 
@@ -150,7 +150,7 @@
  */
 export function findRoute (table: CompiledTable, host: string, url: string): Route | undefined {
   const name = host.toLowerCase()
-  const list = table.routesOf.get(name) ?? table.routesOf.get(name.replace(/:\d+$/, ''))
+  const list = table.routesByHost.get(name) ?? table.routesByHost.get(name.replace(/:\d+$/, ''))
   if (list === undefined) return undefined
   const end = url.indexOf('?')
   const path = end < 0 ? url : url.slice(0, end)
