--- a/packages/forwarding/__tests__/endpointPool.test.ts
+++ b/packages/forwarding/__tests__/endpointPool.test.ts
@@ -7,14 +7,14 @@
 const test = ava.default
 const UNRESPONSIVE_MS = 5000
 
-interface TestPool { pool: endpointPools.EndpointPool, announce: (change: Partial<discovery.EndpointRecord>, at?: number) => void, usable: (at: number) => string[], setCurrent: (at: number, since?: number) => void, prune: (at: number) => void }
+interface TestPool { pool: endpointPools.EndpointPool, announce: (change: Partial<discovery.EndpointRecord>, at?: number) => void, usable: (at: number) => string[], setQuorum: (at: number, since?: number) => void, prune: (at: number) => void }
 
 function createPool (): TestPool {
   const table = discovery.createRecordTable()
   const log = telemetry.createLog({ instance: 'test', level: 'silent' })
-  let currentAt = 0
-  let currentSince = -Infinity
-  const pool = endpointPools.createEndpointPool({ table, currentAt: () => currentAt, currentSince: () => currentSince, unresponsiveMs: UNRESPONSIVE_MS, log })
+  let lastQuorumAt = 0
+  let quorumSince = -Infinity
+  const pool = endpointPools.createEndpointPool({ table, lastQuorumAt: () => lastQuorumAt, quorumSince: () => quorumSince, unresponsiveMs: UNRESPONSIVE_MS, log })
   return {
     pool,
     announce (change, at = 0) {
@@ -22,9 +22,9 @@
       if (table.merge(record, at) === 'changed') pool.update([record])
     },
     usable: at => pool.usable('s', at).map(item => item.id),
-    setCurrent (at, since) {
-      currentAt = at
-      currentSince = since ?? currentSince
+    setQuorum (at, since) {
+      lastQuorumAt = at
+      quorumSince = since ?? quorumSince
     },
     prune (at) {
       table.prune(at)
@@ -35,21 +35,21 @@
 
 // Guards against requests that wait for a connection to a host that is down.
 test('an unresponsive endpoint is not used', t => {
-  const { announce, usable, setCurrent } = createPool()
+  const { announce, usable, setQuorum } = createPool()
   announce({ id: 'e1' })
   announce({ id: 'e2', address: '10.0.0.2:80' })
-  setCurrent(UNRESPONSIVE_MS)
+  setQuorum(UNRESPONSIVE_MS)
   t.deepEqual(usable(UNRESPONSIVE_MS), ['e1', 'e2'])
   announce({ id: 'e2', address: '10.0.0.2:80', seq: 2 }, UNRESPONSIVE_MS)
-  setCurrent(UNRESPONSIVE_MS + 1)
+  setQuorum(UNRESPONSIVE_MS + 1)
   t.deepEqual(usable(UNRESPONSIVE_MS + 1), ['e2'])
 })
 
 // Guards against considering all endpoints unresponsive while no control instance is running.
 test('endpoints stay available while no control instance is reachable', t => {
-  const { announce, usable, setCurrent } = createPool()
+  const { announce, usable, setQuorum } = createPool()
   announce({ id: 'e1' })
-  setCurrent(100)
+  setQuorum(100)
   t.deepEqual(usable(10 * UNRESPONSIVE_MS), ['e1'])
 })
 
@@ -84,12 +84,12 @@
 
 // Guards against rejecting all requests after control instances are back and before endpoints announce themselves again.
 test('an outage of the control instances does not make endpoints unresponsive', t => {
-  const { announce, usable, setCurrent } = createPool()
+  const { announce, usable, setQuorum } = createPool()
   announce({ id: 'e1' })
-  setCurrent(1000, 0)
-  setCurrent(61_000, 61_000)
+  setQuorum(1000, 0)
+  setQuorum(61_000, 61_000)
   t.deepEqual(usable(61_000), ['e1'])
-  setCurrent(61_001 + UNRESPONSIVE_MS)
+  setQuorum(61_001 + UNRESPONSIVE_MS)
   t.deepEqual(usable(61_001 + UNRESPONSIVE_MS), [], 'they are unresponsive after the timeout from then on')
 })
 
--- a/packages/forwarding/__tests__/helpers/testEntry.ts
+++ b/packages/forwarding/__tests__/helpers/testEntry.ts
@@ -132,7 +132,7 @@
   const log = telemetry.createLog({ instance: 'test', json: true, write: line => { lines.push(JSON.parse(line)) } })
   const table = discovery.createRecordTable()
   const now = (): number => performance.now()
-  const pool = endpointPools.createEndpointPool({ table, currentAt: now, currentSince: () => -Infinity, unresponsiveMs: 60_000, log })
+  const pool = endpointPools.createEndpointPool({ table, lastQuorumAt: now, quorumSince: () => -Infinity, unresponsiveMs: 60_000, log })
   const quarantine = crashQuarantines.createCrashQuarantine()
   const outliers = outlierDetectors.createOutlierDetector()
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 100_000, headerTimeoutMs: 1000, idleTimeoutMs: 5000, ...opts.limits }
--- a/packages/forwarding/src/endpointPool.ts
+++ b/packages/forwarding/src/endpointPool.ts
@@ -54,9 +54,9 @@
 export interface EndpointPoolOptions {
   table: discovery.RecordTable
   /** Time of the last message from a control instance with a quorum. */
-  currentAt: () => number
+  lastQuorumAt: () => number
   /** Start of the uninterrupted period of such messages. */
-  currentSince: () => number
+  quorumSince: () => number
   /** An endpoint without an announcement for this time is unresponsive and not used, in milliseconds. */
   unresponsiveMs: number
   log: telemetry.Log
@@ -123,8 +123,8 @@
   const isUnresponsive = (endpoint: Endpoint): boolean => {
     // After an outage of the control instances all announcements are old. The time is counted from when updates resumed, so that not
     // all endpoints are considered unresponsive.
-    const heardAt = Math.max(opts.table.get(endpoint.id)?.lastSeenAt ?? -Infinity, opts.currentSince())
-    return opts.currentAt() - heardAt > opts.unresponsiveMs
+    const lastSeenAt = Math.max(opts.table.get(endpoint.id)?.lastSeenAt ?? -Infinity, opts.quorumSince())
+    return opts.lastQuorumAt() - lastSeenAt > opts.unresponsiveMs
   }
 
   const isReachable = (endpoint: Endpoint, now: number): boolean => endpoint.backoffUntil <= now && !isUnresponsive(endpoint)
--- a/packages/forwarding/src/entryInstance.ts
+++ b/packages/forwarding/src/entryInstance.ts
@@ -128,8 +128,8 @@
     async onCall (body) { return subscriber.onCall(discovery.discoveryCall.parse(body)) }
   }
   const linkSettings: links.LinkSettings = { identity: { role: 'router', id: opts.inner }, secret: opts.secret, log, handlers }
-  const book = links.createPeerLinks(linkSettings)
-  const peers = links.createPeerDialer(book, { dialTimeoutMs: CONNECT_TIMEOUT_MS, backoffMs: PEER_BACKOFF_MS })
+  const peerLinks = links.createPeerLinks(linkSettings)
+  const dialer = links.createPeerDialer(peerLinks, { dialTimeoutMs: CONNECT_TIMEOUT_MS, backoffMs: PEER_BACKOFF_MS })
 
   const applyDocument = (received: contracts.VersionedText, waitedMs: number): void => {
     try {
@@ -151,8 +151,8 @@
 
   const endpoints = endpointPools.createEndpointPool({
     table,
-    currentAt: () => subscriber.lastQuorumAt(),
-    currentSince: () => subscriber.quorumSince(),
+    lastQuorumAt: () => subscriber.lastQuorumAt(),
+    quorumSince: () => subscriber.quorumSince(),
     unresponsiveMs: MISSED_ANNOUNCEMENTS * opts.announceIntervalMs + ANNOUNCEMENT_MARGIN_MS,
     log
   })
@@ -161,7 +161,7 @@
     .filter(item => item.record.id !== opts.id && item.record.state !== 'gone' && isResponsive(item.lastSeenAt))
     .map(item => item.record)
 
-  const gossip = loadGossips.startGossip({ peers: otherEntries, connect: peers.get, pool: endpoints, quarantine, outliers, documentVersion: () => subscriber.version(), onDocumentVersion: (address, version) => { subscriber.notePeerVersion(address, version) } })
+  const gossip = loadGossips.startGossip({ peers: otherEntries, connect: dialer.get, pool: endpoints, quarantine, outliers, documentVersion: () => subscriber.version(), onDocumentVersion: (address, version) => { subscriber.notePeerVersion(address, version) } })
 
   const ctx: entryContexts.EntryContext = {
     names: opts.names,
@@ -188,7 +188,7 @@
     now
   }
 
-  const innerServer = await links.listen(opts.inner, linkSettings, link => { book.add(link) })
+  const innerServer = await links.listen(opts.inner, linkSettings, link => { peerLinks.add(link) })
   const server = await entryServers.startEntryServer({ front: opts.front, ctx })
   const subscriber = discovery.startSubscriber({
     seeds: opts.seeds,
@@ -199,7 +199,7 @@
     onDocument: applyDocument,
     onRecords: list => { endpoints.update(list) },
     peerAddresses: () => discovery.toShuffled(otherEntries().map(item => item.inner)),
-    getPeerLink: peers.get,
+    getPeerLink: dialer.get,
     budget: discovery.createSendBudget(opts.linkBytesPerMs ?? Infinity),
     log
   })
@@ -218,7 +218,7 @@
       const ready = table.entries()
         .filter(item => item.record.id === opts.id ? isSelfReady : item.record.state === 'ready' && isResponsive(item.lastSeenAt))
         .map(item => item.record)
-      const reachable = ready.filter(item => now() - peers.lastFailureAt(item.inner) > PEER_FAILURE_MS)
+      const reachable = ready.filter(item => now() - dialer.lastFailureAt(item.inner) > PEER_FAILURE_MS)
       const candidates = reachable.length > 0 ? reachable : ready
       const sameZone = candidates.filter(item => item.zone === zone)
       return (sameZone.length >= MIN_ZONE_INSTANCES ? sameZone : candidates).map(item => item.front)
@@ -241,14 +241,14 @@
       clearInterval(pruner)
       gossip.stop()
       subscriber.stop()
-      book.close()
+      peerLinks.close()
       server.destroy()
       await innerServer.close()
     }
   }
 
   /** Measures only time during which a control instance with a quorum was reachable. */
-  function isResponsive (heardAt: number): boolean {
-    return subscriber.lastQuorumAt() - Math.max(heardAt, subscriber.quorumSince()) < ENTRY_UNRESPONSIVE_MS
+  function isResponsive (lastSeenAt: number): boolean {
+    return subscriber.lastQuorumAt() - Math.max(lastSeenAt, subscriber.quorumSince()) < ENTRY_UNRESPONSIVE_MS
   }
 }
