--- a/packages/discovery/src/handout.ts
+++ b/packages/discovery/src/handout.ts
@@ -1,12 +1,10 @@
 /**
- * What a control instance hands out before it has started: the last document and records that it wrote to its disk.
+ * The handout: the last document and records that a control instance wrote to its disk, served while the instance is still
+ * starting, so that entry instances need not wait for it after a restart of the whole fleet.
  *
- * Load pattern: all processes are killed, or lose their power. Entry instances serve nobody before the first control instance
- * can tell them the document, and most of its start goes into loading code that this does not need. So a first stage, which needs
- * none of it, hands out what the disk holds. It is what this instance had applied, so a newer document may exist; an entry
- * instance takes that as soon as it is subscribed, and never goes back to an older one.
+ * The handout may be out of date. Entry instances replace it once they are subscribed, and never go back to an older document.
  *
- * Only built-in modules are used here: whatever else were loaded would be waited for.
+ * This module may import built-in modules only: it is loaded before the rest of the program.
  */
 import * as crypto from 'node:crypto'
 import * as fs from 'node:fs'
@@ -15,39 +13,34 @@
 
 /** Name of the file in an instance's data folder. */
 export const HANDOUT_FILE = 'handout'
-/** The port for this stands beside the one for links. */
+/** Added to the port for links. */
 const PORT_OFFSET = 1
 const NONCE_BYTES = 16
 const PROOF_BYTES = 32
-/** Longer than a whole document takes on a link of a few Mbit/s. */
+/** Must exceed the time that a full document takes on a link of a few Mbit/s. */
 const FETCH_TIMEOUT_MS = 800
 const CONNECT_TIMEOUT_MS = 300
-/** Larger than any document with all records. */
+/** Must exceed the size of any document with all records. */
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 /**
- * Gives the address at which an instance hands out.
- * @param inner its IP number and port for links
- * @returns IP number and port
+ * Returns the address at which an instance serves its handout.
+ * @param inner IP address and port of the instance for links
  */
 export function toHandoutAddress (inner: string): { host: string, port: number } {
   const at = inner.lastIndexOf(':')
   return { host: inner.slice(0, at), port: Number(inner.slice(at + 1)) + PORT_OFFSET }
 }
 
-/**
- * Packs what is handed out for the disk.
- * @param body what is handed out
- * @returns the file's content
- */
+/** Returns the content of the handout file: the SHA-256 digest of the body, then the body. */
 export function packHandout (body: Uint8Array): Buffer {
   return Buffer.concat([crypto.createHash('sha256').update(body).digest(), body])
 }
 
 /**
- * Reads what is to be handed out.
+ * Reads the handout file.
  * @param folder the instance's data folder
- * @returns the bytes, or undefined if there are none or they are damaged, as after a loss of power
+ * @returns the body, or undefined if the file is missing or does not match its digest
  */
 export function readHandout (folder: string): Buffer | undefined {
   const file = path.join(folder, HANDOUT_FILE)
@@ -58,51 +51,49 @@
   return digest.equals(content.subarray(0, PROOF_BYTES)) ? body : undefined
 }
 
-/** What a server of this is built from. */
+/** Options of {@link startHandoutServer}. */
 export interface HandoutServerOptions {
   address: { host: string, port: number }
-  /** What all instances of the fleet must know. */
+  /** Secret shared by all instances of the fleet. */
   secret: string
   body: Buffer
-  /** The most that is sent, bytes: what is left is turned away, as it would only fill the link that everybody needs next. */
+  /** Bytes that may be sent in total. Later requests are rejected, to keep the link free for other traffic. */
   maxTotalBytes: number
 }
 
-/** Hands out. */
+/** A server of the handout. */
 export interface HandoutServer {
-  /** @returns whether somebody is being served, and when somebody came last */
+  /** Returns whether connections are open, and when the last one was opened (`performance.now()`). */
   activity (): { isBusy: boolean, lastConnectionAt: number }
-  /** Ends it and frees the port. */
+  /** Stops listening and frees the port. */
   close (): void
 }
 
 /**
- * Hands out to whoever proves the secret: sends a nonce, takes its proof, answers with a proof of the body and the body.
- * @param opts where, and what
- * @param onListening told once it takes connections
- * @param onError told if it cannot
- * @returns how to look after it
+ * Serves the handout to clients that prove the secret: sends a nonce, verifies the client's proof of it, and answers with a
+ * proof of the body and the body.
+ * @param onError called if the server cannot listen
  */
 export function startHandoutServer (opts: HandoutServerOptions, onListening: () => void, onError: (err: Error) => void): HandoutServer {
   const sockets = new Set<net.Socket>()
-  let lastAt = performance.now()
+  let lastConnectionAt = performance.now()
   let sentBytes = 0
   const server = net.createServer(socket => {
     sockets.add(socket)
-    lastAt = performance.now()
+    lastConnectionAt = performance.now()
     socket.on('close', () => sockets.delete(socket))
-    // A caller that left has nothing to be told.
+    // Nothing to do if the client disconnects: 'close' follows.
     socket.on('error', () => {})
     socket.setNoDelay(true)
     const nonce = crypto.randomBytes(NONCE_BYTES)
     socket.write(nonce)
-    let seen = Buffer.alloc(0)
+    let received = Buffer.alloc(0)
     socket.on('data', chunk => {
-      seen = Buffer.concat([seen, chunk])
-      if (seen.length < PROOF_BYTES) return
+      received = Buffer.concat([received, chunk])
+      if (received.length < PROOF_BYTES) return
       socket.removeAllListeners('data')
       sentBytes += opts.body.length
-      if (sentBytes > opts.maxTotalBytes || !isEqual(seen, createProof(opts.secret, 'takes', nonce, Buffer.alloc(0)))) {
+      if (sentBytes > opts.maxTotalBytes || !isEqual(received, createProof(opts.secret, 'takes', nonce, Buffer.alloc(0)))) {
         socket.destroy()
         return
       }
@@ -112,7 +103,7 @@
   server.on('error', onError)
   server.listen(opts.address, onListening)
   return {
-    activity: () => ({ isBusy: sockets.size > 0, lastConnectionAt: lastAt }),
+    activity: () => ({ isBusy: sockets.size > 0, lastConnectionAt }),
     close () {
       server.close()
     }
@@ -120,20 +111,18 @@
 }
 
 /**
- * Fetches what an instance hands out.
- * @param address where
- * @param secret what all instances of the fleet must know
- * @returns the bytes
- * @throws Error when nothing is handed out there, or not by an instance of the fleet
+ * Fetches the handout of an instance.
+ * @param secret secret shared by all instances of the fleet
+ * @throws Error when there is no server, it does not answer in time, or it does not prove the secret
  */
 export async function fetchHandout (address: { host: string, port: number }, secret: string): Promise<Buffer> {
   return await new Promise((resolve, reject) => {
     const socket = net.connect(address)
     const chunks: Buffer[] = []
     let nonce: Buffer | undefined
-    let bytes = 0
-    const timer = setTimeout(() => { fail(new Error('no answer in time')) }, FETCH_TIMEOUT_MS)
-    const connectTimer = setTimeout(() => { fail(new Error('no connection in time')) }, CONNECT_TIMEOUT_MS)
+    let receivedBytes = 0
+    const timer = setTimeout(() => { fail(new Error(`handout not received within ${FETCH_TIMEOUT_MS} ms`)) }, FETCH_TIMEOUT_MS)
+    const connectTimer = setTimeout(() => { fail(new Error(`handout server not connected within ${CONNECT_TIMEOUT_MS} ms`)) }, CONNECT_TIMEOUT_MS)
     const fail = (err: Error): void => {
       clearTimeout(timer)
       clearTimeout(connectTimer)
@@ -144,17 +133,17 @@
     socket.on('error', fail)
     socket.on('data', chunk => {
       chunks.push(chunk)
-      bytes += chunk.length
-      if (bytes > MAX_RESPONSE_BYTES) fail(new Error('more than any document'))
-      if (nonce !== undefined || bytes < NONCE_BYTES) return
+      receivedBytes += chunk.length
+      if (receivedBytes > MAX_RESPONSE_BYTES) fail(new Error(`handout exceeds ${MAX_RESPONSE_BYTES} bytes`))
+      if (nonce !== undefined || receivedBytes < NONCE_BYTES) return
       nonce = Buffer.concat(chunks).subarray(0, NONCE_BYTES)
       socket.write(createProof(secret, 'takes', nonce, Buffer.alloc(0)))
     })
     socket.on('end', () => {
-      const rest = Buffer.concat(chunks).subarray(NONCE_BYTES)
-      const body = rest.subarray(PROOF_BYTES)
-      if (nonce === undefined || !isEqual(rest.subarray(0, PROOF_BYTES), createProof(secret, 'gives', nonce, body))) {
-        fail(new Error('no proof of the fleet secret, or not all of it came'))
+      const response = Buffer.concat(chunks).subarray(NONCE_BYTES)
+      const body = response.subarray(PROOF_BYTES)
+      if (nonce === undefined || !isEqual(response.subarray(0, PROOF_BYTES), createProof(secret, 'gives', nonce, body))) {
+        fail(new Error(`handout of ${response.length} bytes has no valid proof of the fleet secret, or was truncated`))
         return
       }
       clearTimeout(timer)
--- a/packages/discovery/src/records.ts
+++ b/packages/discovery/src/records.ts
@@ -1,16 +1,16 @@
-/** What is known of an endpoint or an entry instance, as its latest announcement says. */
+/** Schemas of the records that endpoints and entry instances announce. */
 import * as z from 'zod'
 
-/** Where an announced process stands: not ready yet, it takes work, it takes no new work, or it is no more. */
+/** Lifecycle of an announced process: not ready yet, accepts work, accepts no new work, ended. */
 export const recordState = z.enum(['starting', 'ready', 'leaving', 'gone'])
-/** Where an announced process stands. */
+/** Lifecycle of an announced process. */
 export type RecordState = z.infer<typeof recordState>
 
 const common = {
   id: z.string().min(1),
-  /** Start of the process, Unix milliseconds of its own clock; a later start under the same id is another incarnation. */
+  /** Start of the process, Unix milliseconds of its own clock. A later start under the same id is a new incarnation. */
   startedAt: z.number(),
-  /** Grows with each announcement of one incarnation. */
+  /** Increases with each announcement of one incarnation. */
   seq: z.number(),
   zone: z.string(),
   state: recordState
@@ -21,35 +21,35 @@
   kind: z.literal('endpoint'),
   ...common,
   service: z.string(),
-  /** IP number and port for requests. */
+  /** IP address and port for requests. */
   address: z.string(),
-  /** Requests that it runs at once. */
+  /** Number of requests that it runs concurrently. */
   slots: z.number(),
-  /** How much longer it stays slow after its start, milliseconds. */
+  /** Remaining warm-up time, milliseconds. */
   coldMs: z.number()
 })
 /** An endpoint: one process of a service. */
 export type EndpointRecord = z.infer<typeof endpointRecord>
 
-/** An entry instance: takes callers' requests. */
+/** An entry instance: accepts requests of callers. */
 export const entryRecord = z.object({
   kind: z.literal('entry'),
   ...common,
   region: z.string(),
-  /** IP number and port for callers. */
+  /** IP address and port for callers. */
   front: z.string(),
-  /** IP number and port for the other instances. */
+  /** IP address and port for the other instances. */
   inner: z.string()
 })
-/** An entry instance: takes callers' requests. */
+/** An entry instance: accepts requests of callers. */
 export type EntryRecord = z.infer<typeof entryRecord>
 
-/** Either kind of record. */
+/** A record of either kind. */
 export const record = z.discriminatedUnion('kind', [endpointRecord, entryRecord])
-/** Either kind of record. */
+/** A record of either kind. */
 export type Record = z.infer<typeof record>
 
-/** A sign of life: the announcement with this number was heard. */
+/** A heartbeat of an announced process: `id`, `startedAt` and `seq` of its latest announcement. */
 export const heartbeat = z.tuple([z.string(), z.number(), z.number()])
-/** A sign of life: id, start and number of the announcement that was heard. */
+/** A heartbeat of an announced process: `id`, `startedAt` and `seq` of its latest announcement. */
 export type Heartbeat = z.infer<typeof heartbeat>
--- a/packages/discovery/src/sendBudget.ts
+++ b/packages/discovery/src/sendBudget.ts
@@ -1,32 +1,32 @@
 /**
- * How many bytes of documents an instance sends at a time. A decision without input or output.
- *
- * Load pattern: a document has grown by two thousand routes, and twenty instances ask one control instance on a link of a few Mbit/s
- * for it at once. Sent to all of them together it arrives at each of them after seconds; those that give up meanwhile ask for it
- * again, and what they were sent fills the link in vain. Sent to a few at a time, the first of them hand it on.
+ * Limits how many bytes of documents an instance sends at a time. Many simultaneous full documents would saturate a slow link
+ * until the receivers time out and retry; sending to a few at a time lets the first receivers serve the others.
  */
 
-/** The bytes that may be sent. */
+/** A budget of bytes on one link. */
 export interface SendBudget {
-  /** Takes a send. @returns whether it may be made now */
+  /**
+   * Reserves room for a message on the link.
+   * @param now milliseconds
+   * @returns whether it may be sent now
+   */
   tryReserve (bytes: number, now: number): boolean
 }
 
-/** A send is begun while what was sent before it keeps the link busy for no longer than this, milliseconds. */
+/** Longest time for which earlier messages may keep the link busy before another one is rejected. */
 const MAX_QUEUE_MS = 150
 
 /**
- * Creates a budget.
- * @param bytesPerMs what the link carries, bytes a millisecond; Infinity where that is not known
- * @returns the budget, of a link that is free
+ * Creates the budget of an idle link.
+ * @param bytesPerMs capacity of the link, bytes per millisecond; Infinity if unknown
  */
 export function createSendBudget (bytesPerMs: number): SendBudget {
-  let freeAt = -Infinity
+  let idleAt = -Infinity
   return {
     tryReserve (bytes, now) {
-      const beginsAt = Math.max(now, freeAt)
-      if (beginsAt - now > MAX_QUEUE_MS) return false
-      freeAt = beginsAt + bytes / bytesPerMs
+      const startsAt = Math.max(now, idleAt)
+      if (startsAt - now > MAX_QUEUE_MS) return false
+      idleAt = startsAt + bytes / bytesPerMs
       return true
     }
   }
