--- a/packages/discovery/src/documentFetcher.ts
+++ b/packages/discovery/src/documentFetcher.ts
@@ -1,10 +1,6 @@
 /**
- * How an entry instance comes by the latest document: from the control instances that it listens to, and from other entry
- * instances, to which it hands on what it holds.
- *
- * Load pattern: a document has grown by two thousand routes, and 65 instances want it from nine control instances on links of a few
- * Mbit/s, some of which restart, are cut off or stand still. Control instances alone take seconds; every instance that has it
- * halves what is left.
+ * Fetches the latest document of an entry instance, from its control instances and from other entry instances, and serves it to
+ * other entry instances. Sharing the transfer among all instances that have the document keeps slow links from limiting it.
  */
 import * as timers from 'node:timers/promises'
 import * as contracts from '@kingcupdeck/contracts'
@@ -14,69 +10,68 @@
 import * as messages from './messages.js'
 import type * as sendBudgets from './sendBudget.js'
 
-/** An instance that may be asked for the document. */
+/** An instance from which the document can be fetched. */
 export interface DocumentSource {
   address: string
-  /** The version that it said it holds. */
+  /** The version that it reported. */
   version: number
   getLink: () => Promise<links.Link>
-  /** Whether the link is opened for this and closed after it. */
+  /** Whether the link is closed after the fetch. */
   isLinkTemporary?: boolean
-  /** Told when it did not hand out what it said it holds. */
-  onFailure: (why: string) => void
+  /** Called when the reported version could not be fetched. */
+  onFailure: (reason: string) => void
 }
 
-/** What a fetcher is built from. */
+/** Options of {@link createDocumentFetcher}. */
 export interface DocumentFetcherOptions {
-  /** Control instances that this instance listens to, the one to be asked first before others. */
+  /** Subscribed control instances, in order of preference. */
   controls: () => DocumentSource[]
   /** Inner addresses of the other entry instances, in random order. */
   peerAddresses: () => readonly string[]
-  /** @returns a link to another entry instance */
+  /** Returns a link to another entry instance. */
   getPeerLink: (address: string) => Promise<links.Link>
-  /** Takes a newer document, with the time since it was first heard of, milliseconds. */
+  /**
+   * Called with each newer document.
+   * @param waitedMs time since a newer version first became known
+   */
   onDocument: (document: contracts.VersionedText, waitedMs: number) => void
-  /** How much of its link this instance may fill with documents for others. */
+  /** Limits the documents that are sent to other instances. */
   budget: sendBudgets.SendBudget
   signal: AbortSignal
   log: telemetry.Log
   now: () => number
 }
 
-/** Holds the latest document that this instance came by. */
+/** Fetches and caches the latest document. */
 export interface DocumentFetcher {
-  /** @returns the version that is held, 0 without one */
+  /** Returns the version of the cached document, 0 without one. */
   version (): number
-  /** @returns the newest version that any instance said it holds */
+  /** Returns the newest version that any instance reported. */
   newestVersion (): number
-  /** Takes a document that came with another answer. */
+  /** Applies a document that was received in any reply; ignores it unless it is newer. */
   accept (packed: contracts.PackedText | null): void
-  /** Asks for the document over a link. @returns the answer, whose document was taken */
+  /** Fetches the document over a link and applies it. */
   fetchOver (link: links.Link): Promise<messages.DiscoveryReply>
-  /** Notes the version that another entry instance holds. */
+  /** Records the version that another entry instance reported. */
   notePeerVersion (address: string, version: number): void
-  /** Fetches the document after a while, if a newer one is known then. */
-  scheduleFetch (ms: number): void
-  /** Answers another instance that holds a version. */
+  /** Starts fetching after a delay, if a newer version is known. */
+  scheduleFetch (delayMs: number): void
+  /** Returns the reply to a fetch call of an instance with the given version. */
   toReply (version: number): messages.DiscoveryReply
 }
 
-/** A whole document of a megabyte is a tenth of that packed: 0.2 s on a link of 4 Mbit/s, the rest is for other traffic there. */
+/** Must exceed the time that a full document takes on a link of a few Mbit/s. */
 const FETCH_TIMEOUT_MS = 1000
-/** An instance that has not answered for this long is asked no further; another one is asked beside it. */
+/** Another instance is tried concurrently when one has not answered within this time. */
 const HEDGE_DELAY_MS = 300
-/** Pause before the next instance is asked, after one that had nothing to give. */
+/** Pause before the next instance is tried. */
 const RETRY_PAUSE_MS = 60
 
-/**
- * Creates a fetcher.
- * @param opts whom to ask, and who takes the document
- * @returns the fetcher, without a document
- */
+/** Creates a fetcher without a document. */
 export function createDocumentFetcher (opts: DocumentFetcherOptions): DocumentFetcher {
   const history = documentHistories.createDocumentHistory()
   const peerVersions = new Map<string, number>()
-  /** Addresses that were asked and have not answered yet. */
+  /** Addresses with a fetch in flight. */
   const pendingAddresses = new Set<string>()
   let latest: contracts.VersionedText | null = null
   let isFetching = false
@@ -85,24 +80,24 @@
 
   const version = (): number => latest?.version ?? 0
 
-  const toPeer = (address: string): DocumentSource => ({
+  const toPeerSource = (address: string): DocumentSource => ({
     address,
     version: peerVersions.get(address) ?? 0,
     getLink: async () => await opts.getPeerLink(address),
-    onFailure (why) {
+    onFailure (reason) {
       peerVersions.delete(address)
-      opts.log.event('documentNotFetched', { address, why })
+      opts.log.event('documentNotFetched', { address, why: reason })
     }
   })
 
-  const peers = (): DocumentSource[] => opts.peerAddresses().map(toPeer)
+  const peerSources = (): DocumentSource[] => opts.peerAddresses().map(toPeerSource)
 
-  const newestVersion = (): number => Math.max(0, ...[...opts.controls(), ...peers()].map(item => item.version))
+  const newestVersion = (): number => Math.max(0, ...[...opts.controls(), ...peerSources()].map(item => item.version))
 
   const accept = (packed: contracts.PackedText | null): void => {
     if (packed === null || packed.version <= version()) return
     const document = contracts.unpackText(packed, latest)
-    // The difference from a document that was replaced here while the answer was under way; the whole is fetched next.
+    // A delta from a version that was replaced while the reply was in flight; the next fetch sends the current version.
     if (document === undefined) return
     latest = document
     history.add(document, packed)
@@ -119,38 +114,38 @@
   }
 
   const fetchFrom = async (source: DocumentSource): Promise<void> => {
-    const before = version()
+    const versionBefore = version()
     pendingAddresses.add(source.address)
     try {
       const link = await source.getLink()
       const reply = await fetchOver(link).finally(() => { if (source.isLinkTemporary === true) link.close() })
-      // Guards against asking without end where the document that was announced is not handed out.
-      if (source.version > before && version() === before && reply.isBusy !== true) source.onFailure('its document did not come')
+      // Reports the failure, so that a source that never sends its reported version is not retried indefinitely.
+      if (source.version > versionBefore && version() === versionBefore && reply.isBusy !== true) source.onFailure(`version ${source.version} was reported but not sent`)
     } catch (err) {
-      source.onFailure(`its document could not be fetched: ${err instanceof Error ? err.message : String(err)}`)
+      source.onFailure(`document fetch failed: ${err instanceof Error ? err.message : String(err)}`)
     } finally {
       pendingAddresses.delete(source.address)
     }
   }
 
-  /** Control instances and other entry instances by turns, those that hold a newer document before the others. */
-  const pickSource = (turn: number): DocumentSource | undefined => {
-    const isFree = (item: DocumentSource): boolean => !pendingAddresses.has(item.address)
-    const isAhead = (item: DocumentSource): boolean => isFree(item) && item.version > version()
+  /** Alternates between control instances and other entry instances; prefers those that reported a newer version. */
+  const pickSource = (attempt: number): DocumentSource | undefined => {
+    const isIdle = (item: DocumentSource): boolean => !pendingAddresses.has(item.address)
+    const isAhead = (item: DocumentSource): boolean => isIdle(item) && item.version > version()
     const controls = opts.controls()
-    const others = peers()
+    const peers = peerSources()
     const control = controls.find(isAhead)
-    const peer = others.find(isAhead) ?? others.find(isFree)
-    return turn % 2 === 0 ? control ?? peer : peer ?? control
+    const peer = peers.find(isAhead) ?? peers.find(isIdle)
+    return attempt % 2 === 0 ? control ?? peer : peer ?? control
   }
 
   const fetchUntilCurrent = async (): Promise<void> => {
     if (isFetching) return
     isFetching = true
     try {
-      for (let turn = 0; !opts.signal.aborted && newestVersion() > version(); turn++) {
+      for (let attempt = 0; !opts.signal.aborted && newestVersion() > version(); attempt++) {
         newerKnownAt ??= opts.now()
-        const source = pickSource(turn)
+        const source = pickSource(attempt)
         if (source !== undefined) await Promise.race([fetchFrom(source), timers.setTimeout(HEDGE_DELAY_MS, undefined, { ref: false })])
         if (newestVersion() > version()) await timers.setTimeout(RETRY_PAUSE_MS, undefined, { ref: false })
       }
@@ -164,21 +159,21 @@
     newestVersion,
     accept,
     fetchOver,
-    notePeerVersion (address, said) {
-      peerVersions.set(address, said)
+    notePeerVersion (address, reportedVersion) {
+      peerVersions.set(address, reportedVersion)
     },
-    scheduleFetch (ms) {
+    scheduleFetch (delayMs) {
       if (newestVersion() <= version()) return
       newerKnownAt ??= opts.now()
-      if (ms === 0) {
+      if (delayMs === 0) {
         void fetchUntilCurrent()
         return
       }
       timer ??= setTimeout(() => {
         timer = undefined
         void fetchUntilCurrent()
-      }, ms).unref()
+      }, delayMs).unref()
     },
-    toReply: since => ({ records: null, controls: [], version: version(), ...messages.toDocumentReply(history.packSince(since), opts.budget, opts.now()) })
+    toReply: callerVersion => ({ records: null, controls: [], version: version(), ...messages.toDocumentReply(history.packSince(callerVersion), opts.budget, opts.now()) })
   }
 }
--- a/packages/discovery/src/publisher.ts
+++ b/packages/discovery/src/publisher.ts
@@ -1,6 +1,6 @@
 /**
- * The control instance's part: it takes announcements, tells the other control instances and its subscribers, and keeps no
- * durable state: after a restart it learns everything again from the others and from the next announcements.
+ * The control instance's side of discovery: accepts announcements and publishes them to the other control instances and to its
+ * subscribers. Keeps no durable state: after a restart, records come from the other control instances and new announcements.
  */
 import * as timers from 'node:timers/promises'
 import type * as contracts from '@kingcupdeck/contracts'
@@ -11,82 +11,78 @@
 import * as records from './records.js'
 import * as sendBudgets from './sendBudget.js'
 
-/** What a publisher is built from. */
+/** Options of {@link createPublisher}. */
 export interface PublisherOptions {
   /** Inner address of this control instance. */
   self: string
   table: recordTables.RecordTable
   /** Inner addresses of the other control instances. */
   peerAddresses: () => readonly string[]
-  /** @returns a link to another control instance */
+  /** Returns a link to another control instance. */
   getPeerLink: (address: string) => Promise<links.Link>
-  /** Version of the document held here, 0 without one. */
+  /** Returns the version of the local document, 0 without one. */
   version: () => number
-  /** @returns the document held here, packed for a reader who holds a version of it, or null if that is the latest */
+  /** Packs the local document for a reader of a version of it; null if the reader has the latest. */
   packDocumentSince: (version: number) => contracts.PackedText | null
-  /** How much of its link this instance may fill with documents; absent where that is not known. */
+  /** Limits the documents that are sent; unlimited by default. */
   budget?: sendBudgets.SendBudget
-  /** Whether this instance heard from a quorum lately. */
+  /** Returns whether this instance was in contact with a quorum recently. */
   isCurrent: () => boolean
-  /** Told when a record changed. */
+  /** Called when a record changed. */
   onChange?: () => void
   log: telemetry.Log
   now?: () => number
 }
 
-/** Takes announcements and spreads them. */
+/** Accepts announcements and publishes them. */
 export interface Publisher {
   /**
-   * Takes an announcement.
-   * @param record what a process says of itself
-   * @returns once every reachable control instance has taken a change, or after {@link REPLICATION_TIMEOUT_MS}
+   * Accepts an announcement. Resolves once every reachable control instance has acknowledged a change, or after
+   * {@link REPLICATION_TIMEOUT_MS}.
    */
   announce (record: records.Record): Promise<void>
   /** Answers a call of another instance. */
   onCall (call: messages.DiscoveryCall, link: links.Link): Promise<messages.DiscoveryReply>
-  /** Takes an event of another instance. */
+  /** Handles an event of another instance. */
   onEvent (event: messages.DiscoveryEvent): void
-  /** Tells all subscribers that there is a new document; each fetches it from one control instance. */
+  /** Notifies all subscribers of a new document; each of them fetches it from one control instance. */
   publishDocument (): void
-  /** @returns what an instance that knows nothing is answered */
+  /** Returns the reply to a caller without records or document: all records and the full document. */
   toFullReply (): messages.DiscoveryReply
-  /** One step of the periodic work. */
+  /** Runs the periodic work; to be called every {@link messages.TICK_INTERVAL_MS}. */
   tick (): void
 }
 
 /**
- * How long an acknowledgement waits until the other control instances confirm a change. An endpoint that was told "yes, you
- * may leave" counts on getting no new work soon, so the news must be under way everywhere before it is told so.
+ * How long an announcement waits for the other control instances to acknowledge a change. An endpoint may stop soon after its
+ * "leaving" was acknowledged, so the change must have been sent to all instances by then.
  */
 export const REPLICATION_TIMEOUT_MS = 400
-/** Changes that can wait are gathered for so long, milliseconds: a small part of the time for which callers keep addresses. */
+/** How long non-urgent changes are batched: a small part of the time for which callers cache addresses. */
 const BATCH_DELAY_MS = 40
 /**
- * A document up to this size comes with the answer to a subscription: a fleet that lost power serves nobody before it. A larger
- * one is fetched from one control instance, since three times its size would fill their links.
+ * Documents up to this size are included in the reply to a subscription. Larger ones are fetched separately, so that they are not
+ * sent once per subscription.
  */
 const MAX_INLINE_BYTES = 12 * 1024
-/** Every so many ticks the whole table is compared with one other control instance: mends what lost links left out. */
+/** Ticks between anti-entropy exchanges of the full table with a random control instance. */
 const COMPARE_INTERVAL_TICKS = 3
+const PRUNE_INTERVAL_TICKS = 30
 
-/**
- * Creates a publisher.
- * @param opts the table and the ways to the others
- * @returns the publisher
- */
+/** Creates a publisher. */
 export function createPublisher (opts: PublisherOptions): Publisher {
   const { table } = opts
   const budget = opts.budget ?? sendBudgets.createSendBudget(Infinity)
   const now = opts.now ?? (() => performance.now())
   const subscribers = new Set<links.Link>()
-  let ownSigns = new Map<string, records.Heartbeat>()
-  let passedSigns = new Map<string, records.Heartbeat>()
-  /** Changes that another control instance has not confirmed yet, by its address. */
-  const unconfirmed = new Map<string, Map<string, records.Record>>()
-  /** Changes to be told together. */
-  const forSubscribers = new Map<string, records.Record>()
-  const forOthers = new Map<string, records.Record>()
-  let flushing: Promise<void> | undefined
+  let ownHeartbeats = new Map<string, records.Heartbeat>()
+  let forwardedHeartbeats = new Map<string, records.Heartbeat>()
+  /** Changes that another control instance has not acknowledged yet, by its address and the id of the record. */
+  const unacknowledged = new Map<string, Map<string, records.Record>>()
+  /** Batched changes, by id. */
+  const subscriberBatch = new Map<string, records.Record>()
+  const peerBatch = new Map<string, records.Record>()
+  let pendingFlush: Promise<void> | undefined
   let ticks = 0
 
   const sendAll = (event: messages.DiscoveryEvent): void => {
@@ -94,9 +90,9 @@
     for (const link of subscribers) link.sendEncoded(encoded)
   }
 
-  /** Tells one control instance what it has not confirmed yet. */
-  const tellOther = async (address: string): Promise<void> => {
-    const pending = unconfirmed.get(address)
+  /** Sends unacknowledged changes to another control instance. */
+  const sendPending = async (address: string): Promise<void> => {
+    const pending = unacknowledged.get(address)
     if (pending === undefined || pending.size === 0) return
     const list = [...pending.values()]
     const link = await opts.getPeerLink(address)
@@ -106,60 +102,59 @@
     }
   }
 
-  const tellOthers = async (list: records.Record[]): Promise<void> => {
+  const replicate = async (list: records.Record[]): Promise<void> => {
     const calls = opts.peerAddresses().map(async address => {
-      const pending = unconfirmed.get(address) ?? new Map<string, records.Record>()
-      unconfirmed.set(address, pending)
+      const pending = unacknowledged.get(address) ?? new Map<string, records.Record>()
+      unacknowledged.set(address, pending)
       for (const item of list) pending.set(item.id, item)
-      await tellOther(address)
+      await sendPending(address)
     })
-    // One that cannot be reached now is told with the next ticks.
+    // Changes for unreachable control instances are sent again at the next ticks.
     await Promise.race([Promise.allSettled(calls), new Promise(resolve => { setTimeout(resolve, REPLICATION_TIMEOUT_MS) })])
   }
 
-  const flushNews = async (): Promise<void> => {
-    flushing = undefined
-    const news = [...forSubscribers.values()]
-    const others = [...forOthers.values()]
-    forSubscribers.clear()
-    forOthers.clear()
-    if (news.length > 0) sendAll({ t: 'news', list: news })
-    if (others.length > 0) await tellOthers(others)
+  const flush = async (): Promise<void> => {
+    pendingFlush = undefined
+    const forSubscribers = [...subscriberBatch.values()]
+    const forPeers = [...peerBatch.values()]
+    subscriberBatch.clear()
+    peerBatch.clear()
+    if (forSubscribers.length > 0) sendAll({ t: 'news', list: forSubscribers })
+    if (forPeers.length > 0) await replicate(forPeers)
   }
 
   /**
-   * Has changes told, those that end work at once and others together. Load pattern: after a loss of power 65 entry instances
-   * announce themselves within a second. Told one by one to all subscribers these are more events than a control instance with
-   * a small share of a processor can write; gathered, they are one event for each of them.
-   * @returns once every reachable control instance has taken them, or after {@link REPLICATION_TIMEOUT_MS}
+   * Queues changes for publication: flushes at once if a process leaves, otherwise batches them, so that a restart of many
+   * instances does not cause one event per instance and subscriber. Resolves once every reachable control instance has
+   * acknowledged them, or after {@link REPLICATION_TIMEOUT_MS}.
    */
-  const queueNews = async (list: readonly records.Record[], isForOthers: boolean): Promise<void> => {
+  const queueChanges = async (list: readonly records.Record[], isForPeers: boolean): Promise<void> => {
     if (list.length === 0) return
     for (const item of list) {
-      forSubscribers.set(item.id, item)
-      if (isForOthers) forOthers.set(item.id, item)
+      subscriberBatch.set(item.id, item)
+      if (isForPeers) peerBatch.set(item.id, item)
     }
     if (list.some(item => item.state === 'leaving' || item.state === 'gone')) {
-      await flushNews()
+      await flush()
       return
     }
-    flushing ??= timers.setTimeout(BATCH_DELAY_MS).then(flushNews)
-    await flushing
+    pendingFlush ??= timers.setTimeout(BATCH_DELAY_MS).then(flush)
+    await pendingFlush
   }
 
-  /** Takes records. @returns those among them that were news */
-  const take = (list: readonly records.Record[]): records.Record[] => {
-    const at = now()
+  /** Merges records. @returns those that changed */
+  const mergeAll = (list: readonly records.Record[]): records.Record[] => {
+    const mergedAt = now()
     const changed = list.filter(item => {
-      const merged = table.merge(item, at)
-      if (merged === 'refreshed') passedSigns.set(item.id, [item.id, item.startedAt, item.seq])
-      if (merged === 'changed') noteChange(item)
-      return merged === 'changed'
+      const result = table.merge(item, mergedAt)
+      if (result === 'refreshed') forwardedHeartbeats.set(item.id, [item.id, item.startedAt, item.seq])
+      if (result === 'changed') reportChange(item)
+      return result === 'changed'
     })
     return changed
   }
 
-  const noteChange = (item: records.Record): void => {
+  const reportChange = (item: records.Record): void => {
     opts.onChange?.()
     opts.log.event('recordChanged', { kind: item.kind, id: item.id, state: item.state, startedAt: item.startedAt, seq: item.seq, zone: item.zone })
   }
@@ -167,24 +162,24 @@
   const compare = async (address: string): Promise<void> => {
     const link = await opts.getPeerLink(address)
     const reply = messages.discoveryReply.parse(await link.call({ t: 'compare', records: messages.packRecords(table.all()) } satisfies messages.DiscoveryCall, 2 * messages.TICK_INTERVAL_MS))
-    if (reply.records !== null) await queueNews(take(messages.unpackRecords(reply.records)), false)
+    if (reply.records !== null) await queueChanges(mergeAll(messages.unpackRecords(reply.records)), false)
   }
 
-  const reply = (hasRecords: boolean, document: contracts.PackedText | null): messages.DiscoveryReply => {
+  const toReply = (hasRecords: boolean, document: contracts.PackedText | null): messages.DiscoveryReply => {
     return { records: hasRecords ? messages.packRecords(table.all()) : null, controls: [opts.self, ...opts.peerAddresses()], version: opts.version(), document }
   }
 
   return {
     async announce (record) {
-      const merged = table.merge(record, now())
-      switch (merged) {
+      const result = table.merge(record, now())
+      switch (result) {
         case 'stale': return
         case 'refreshed':
-          ownSigns.set(record.id, [record.id, record.startedAt, record.seq])
+          ownHeartbeats.set(record.id, [record.id, record.startedAt, record.seq])
           return
         case 'changed':
-          noteChange(record)
-          await queueNews([record], true)
+          reportChange(record)
+          await queueChanges([record], true)
       }
     },
     async onCall (call, link) {
@@ -193,36 +188,36 @@
           subscribers.add(link)
           void link.closed.then(() => { subscribers.delete(link) })
           if (table.merge(call.self, now()) === 'changed') {
-            noteChange(call.self)
-            void queueNews([call.self], true)
+            reportChange(call.self)
+            void queueChanges([call.self], true)
           }
           const document = opts.packDocumentSince(call.version)
-          return reply(true, document !== null && document.body.length <= MAX_INLINE_BYTES ? document : null)
+          return toReply(true, document !== null && document.body.length <= MAX_INLINE_BYTES ? document : null)
         }
         case 'records':
-          void queueNews(take(call.list), false)
-          return reply(false, null)
+          void queueChanges(mergeAll(call.list), false)
+          return toReply(false, null)
         case 'compare':
-          void queueNews(take(messages.unpackRecords(call.records)), false)
-          return reply(true, null)
+          void queueChanges(mergeAll(messages.unpackRecords(call.records)), false)
+          return toReply(true, null)
         case 'fetch':
-          return { ...reply(false, null), ...messages.toDocumentReply(opts.packDocumentSince(call.version), budget, now()) }
+          return { ...toReply(false, null), ...messages.toDocumentReply(opts.packDocumentSince(call.version), budget, now()) }
       }
     },
     onEvent (event) {
       switch (event.t) {
         case 'news':
-          void queueNews(take(event.list), true)
+          void queueChanges(mergeAll(event.list), true)
           break
         case 'signs':
-          for (const sign of event.signs) {
-            if (table.applyHeartbeat(sign, now())) passedSigns.set(sign[0], sign)
+          for (const heartbeat of event.signs) {
+            if (table.applyHeartbeat(heartbeat, now())) forwardedHeartbeats.set(heartbeat[0], heartbeat)
           }
           break
         case 'tick':
-          // An entry instance announces itself.
-          for (const sign of event.signs) {
-            if (table.applyHeartbeat(sign, now())) ownSigns.set(sign[0], sign)
+          // The heartbeat of a subscribed entry instance.
+          for (const heartbeat of event.signs) {
+            if (table.applyHeartbeat(heartbeat, now())) ownHeartbeats.set(heartbeat[0], heartbeat)
           }
           break
         case 'version': break
@@ -231,26 +226,26 @@
     publishDocument () {
       sendAll({ t: 'version', version: opts.version() })
     },
-    toFullReply: () => reply(true, opts.packDocumentSince(0)),
+    toFullReply: () => toReply(true, opts.packDocumentSince(0)),
     tick () {
       ticks++
-      const own = [...ownSigns.values()]
-      const signs = [...own, ...passedSigns.values()]
-      ownSigns = new Map()
-      passedSigns = new Map()
+      const own = [...ownHeartbeats.values()]
+      const signs = [...own, ...forwardedHeartbeats.values()]
+      ownHeartbeats = new Map()
+      forwardedHeartbeats = new Map()
       const controls = [opts.self, ...opts.peerAddresses()]
       sendAll({ t: 'tick', isCurrent: opts.isCurrent(), version: opts.version(), signs, controls })
       if (own.length > 0) {
         const encoded = links.encodeEvent({ t: 'signs', signs: own } satisfies messages.DiscoveryEvent)
         for (const address of opts.peerAddresses()) opts.getPeerLink(address).then(link => { link.sendEncoded(encoded) }, () => {})
       }
-      const others = opts.peerAddresses()
-      for (const address of unconfirmed.keys()) {
-        if (!others.includes(address)) unconfirmed.delete(address)
+      const peers = opts.peerAddresses()
+      for (const address of unacknowledged.keys()) {
+        if (!peers.includes(address)) unacknowledged.delete(address)
       }
-      for (const address of others) tellOther(address).catch(() => {})
-      if (others.length > 0 && ticks % COMPARE_INTERVAL_TICKS === 2) compare(others[Math.floor(Math.random() * others.length)]).catch(() => {})
-      if (ticks % 30 === 0) table.prune(now())
+      for (const address of peers) sendPending(address).catch(() => {})
+      if (peers.length > 0 && ticks % COMPARE_INTERVAL_TICKS === 2) compare(peers[Math.floor(Math.random() * peers.length)]).catch(() => {})
+      if (ticks % PRUNE_INTERVAL_TICKS === 0) table.prune(now())
     }
   }
 }
--- a/packages/discovery/src/subscriber.ts
+++ b/packages/discovery/src/subscriber.ts
@@ -1,6 +1,6 @@
 /**
- * The entry instance's part: it keeps subscriptions to a few control instances, takes what they tell, and changes to others
- * when one falls silent or has lost its quorum.
+ * The entry instance's side of discovery: maintains subscriptions to a few control instances, applies their updates, and replaces
+ * those that are unresponsive or have lost their quorum.
  */
 import * as timers from 'node:timers/promises'
 import * as contracts from '@kingcupdeck/contracts'
@@ -13,151 +13,149 @@
 import * as records from './records.js'
 import * as sendBudgets from './sendBudget.js'
 
-/** What a subscriber is built from. */
+/** Options of {@link startSubscriber}. */
 export interface SubscriberOptions {
-  /** Inner addresses of control instances to begin with. */
+  /** Inner addresses of control instances, from the current settings. */
   seeds: () => readonly string[]
   table: recordTables.RecordTable
-  /** @returns a new link to a control instance, which calls {@link Subscriber.onEvent} */
+  /** Opens a link to a control instance, whose events go to {@link Subscriber.onEvent}. */
   dial: (address: string) => Promise<links.Link>
-  /** Asks a control instance that is still starting for what it hands out; absent where none does so. */
+  /** Fetches the handout of a control instance that is still starting; absent if handouts are not used. */
   fetchHandout?: (address: string) => Promise<Uint8Array>
-  /** What this instance says of itself. */
+  /** Returns the record that this instance announces. */
   self: () => records.EntryRecord
-  /** Takes a newer document, with the time since it was first heard of, milliseconds. */
+  /**
+   * Called with each newer document.
+   * @param waitedMs time since a newer version first became known
+   */
   onDocument: (document: contracts.VersionedText, waitedMs: number) => void
-  /** Inner addresses of the other entry instances, in random order; absent where there are none. */
+  /** Inner addresses of the other entry instances, in random order; none by default. */
   peerAddresses?: () => readonly string[]
-  /** @returns a link to another entry instance */
+  /** Returns a link to another entry instance. */
   getPeerLink?: (address: string) => Promise<links.Link>
-  /** How much of its link this instance may fill with documents for others; absent where that is not known. */
+  /** Limits the documents that are sent to other instances; unlimited by default. */
   budget?: sendBudgets.SendBudget
-  /** Told when records changed. */
+  /** Called with records that changed. */
   onRecords: (list: readonly records.Record[]) => void
   log: telemetry.Log
   now?: () => number
 }
 
-/** Keeps subscriptions. */
+/** Maintains subscriptions. */
 export interface Subscriber {
-  /** Takes an event of a control instance. */
+  /** Handles an event of a control instance. */
   onEvent (event: messages.DiscoveryEvent, link: links.Link): void
   /** Answers a call of another entry instance. */
   onCall (call: messages.DiscoveryCall): messages.DiscoveryReply
-  /** Notes the version of the document that another entry instance holds. */
+  /** Records the version of the document that another entry instance reported. */
   notePeerVersion (address: string, version: number): void
-  /** @returns the version of the document that is held here, 0 without one */
+  /** Returns the version of the local document, 0 without one. */
   version (): number
-  /** @returns the newest version that any instance said it holds */
+  /** Returns the newest version that any instance reported. */
   newestVersion (): number
-  /** @returns whether the document that is held here is known to be the latest: what it lacks is not to be had anywhere */
+  /** Returns whether the local document is known to be the latest: a quorum is in contact, and no instance reported a newer one. */
   isDocumentLatest (): boolean
-  /** Announces a change of this instance to all control instances it is subscribed to. */
+  /** Announces a change of this instance to all subscribed control instances. */
   announce (): void
-  /** @returns when a control instance that has a quorum was last heard */
+  /** Returns the time of the last tick of a control instance with a quorum, -Infinity before the first. */
   lastQuorumAt (): number
-  /** @returns since when such a control instance has been heard without a gap, or was until {@link Subscriber.lastQuorumAt} */
+  /** Returns the start of the uninterrupted period of such ticks that includes {@link Subscriber.lastQuorumAt}. */
   quorumSince (): number
-  /** @returns how many control instances tell this instance news */
+  /** Returns the number of subscriptions. */
   subscriptionCount (): number
-  /** Ends all subscriptions. */
+  /** Closes all subscriptions. */
   stop (): void
 }
 
 /**
- * Control instances that an entry instance listens to at once. With five, two may be cut off from the others without
- * falling silent to entry instances: three leave one that is not.
+ * Maximum number of subscriptions. Of five control instances, two may be partitioned from the others and still reachable for
+ * entry instances: three subscriptions then include one with a quorum.
  */
-const SUBSCRIPTIONS = 3
-/** A control instance that sends no tick for this long is given up. */
-const SILENT_MS = 2.3 * messages.TICK_INTERVAL_MS
-/** A control instance without a quorum for this long is exchanged for another one, if there is one. */
-const NOT_CURRENT_MS = 1.5 * messages.TICK_INTERVAL_MS
-/** Without a tick for this long there was a gap in the news. */
-const GAP_MS = SILENT_MS
-/** How long an address that failed is left alone: short at first, since a process that was killed is back soon, ... */
-const AVOID_MS = 200
-/** ... and doubled with each failure in a row up to this, ... */
-const AVOID_MOST_MS = 1600
-/** ... but for an instance that has not heard of any yet: it serves nobody, or with what may be old, until one is back. */
-const AVOID_ALONE_MS = 40
-const LOOK_MS = 100
-/** How often an instance that has not heard of any looks for a control instance. */
-const LOOK_ALONE_MS = 40
-const SUBSCRIBE_MS = 1500
-/** How long the other subscriptions leave a new document to the main one: half a heartbeat between control instances. */
-const SPARE_MS = 100
+const MAX_SUBSCRIPTIONS = 3
+/** A control instance without a tick for this long is unresponsive, and its subscription is closed. */
+const TICK_TIMEOUT_MS = 2.3 * messages.TICK_INTERVAL_MS
+/** A control instance without a quorum for this long is replaced by another one, if available. */
+const QUORUM_TIMEOUT_MS = 1.5 * messages.TICK_INTERVAL_MS
+/** Ticks further apart than this were interrupted: changes may have been missed. */
+const MAX_TICK_GAP_MS = TICK_TIMEOUT_MS
+/** Back-off after the first failure of an address; doubles with each consecutive failure. */
+const MIN_BACKOFF_MS = 200
+const MAX_BACKOFF_MS = 1600
+/** Longest back-off before the first contact with a quorum: until then the instance cannot serve, or only from a stale state. */
+const MAX_BACKOFF_BEFORE_CONTACT_MS = 40
+const POLL_INTERVAL_MS = 100
+const POLL_INTERVAL_BEFORE_CONTACT_MS = 40
+const SUBSCRIBE_TIMEOUT_MS = 1500
+/** How long a new version that is not reported by the primary subscription waits for it: half a heartbeat of control instances. */
+const SECONDARY_FETCH_DELAY_MS = 100
 
 interface Subscription {
   address: string
   link: links.Link | undefined
-  heardAt: number
-  /** Whether the control instance had a quorum at its last tick, and when it last had one. */
+  /** Time of the last event. */
+  lastSeenAt: number
+  /** Whether the control instance had a quorum at its last tick. */
   isCurrent: boolean
-  currentAt: number
+  /** Time of the last tick with a quorum. */
+  lastQuorumAt: number
   version: number
 }
 
-/**
- * Starts keeping subscriptions.
- * @param opts where control instances are and what to do with news
- * @returns the subscriber
- */
+/** Starts subscribing to control instances. */
 export function startSubscriber (opts: SubscriberOptions): Subscriber {
   const now = opts.now ?? (() => performance.now())
   const open = new Set<Subscription>()
-  const avoidUntil = new Map<string, number>()
+  const backoffUntil = new Map<string, number>()
   const failures = new Map<string, number>()
   let controls: string[] = []
   const stopped = new AbortController()
-  let currentAt = -Infinity
-  let currentSince = -Infinity
+  let lastQuorumAt = -Infinity
+  let quorumSince = -Infinity
 
-  const isAlone = (): boolean => currentAt === -Infinity
+  const isBeforeContact = (): boolean => lastQuorumAt === -Infinity
 
-  const takeRecords = (list: readonly records.Record[]): void => {
-    const at = now()
-    const changed = list.filter(item => opts.table.merge(item, at) === 'changed')
+  const mergeRecords = (list: readonly records.Record[]): void => {
+    const mergedAt = now()
+    const changed = list.filter(item => opts.table.merge(item, mergedAt) === 'changed')
     if (changed.length > 0) opts.onRecords(changed)
   }
 
   /**
-   * Takes the news that a control instance holds a version. Load pattern: each document is announced by three control
-   * instances, and the first one to know it, the leader, is subscribed to by a third of all instances. So only those whose
-   * oldest subscription it is fetch at once; the others wait for theirs a little.
+   * Records the version that a control instance reported. Fetches at once only if the instance is the primary (oldest)
+   * subscription, so that the leader, which reports a new version first, does not receive fetches of all its subscribers at once.
    */
-  const noteVersion = (sub: Subscription, said: number): void => {
-    sub.version = Math.max(sub.version, said)
+  const noteVersion = (sub: Subscription, reportedVersion: number): void => {
+    sub.version = Math.max(sub.version, reportedVersion)
     if (sub.version <= documents.version()) return
-    const isMain = [...open][0] === sub
-    documents.scheduleFetch(isMain || documents.version() === 0 ? 0 : SPARE_MS)
+    const isPrimary = [...open][0] === sub
+    documents.scheduleFetch(isPrimary || documents.version() === 0 ? 0 : SECONDARY_FETCH_DELAY_MS)
   }
 
   /**
-   * Any control instance, for the first document. Load pattern: after a loss of power all instances know just the control instances
-   * that the settings name, a third of them, whose links carry 65 whole documents while those of the others are idle.
+   * Returns a random control instance for the first document: the seeds are only some of the control instances, and after a
+   * restart of the fleet their links would limit the transfer.
    */
-  const toFirstSource = (): documentFetchers.DocumentSource[] => {
-    if (documents.version() > 0 || controls.length <= SUBSCRIPTIONS) return []
+  const toInitialSource = (): documentFetchers.DocumentSource[] => {
+    if (documents.version() > 0 || controls.length <= MAX_SUBSCRIPTIONS) return []
     const address = controls[Math.floor(Math.random() * controls.length)]
     return [{
       address,
       version: Math.max(0, ...[...open].map(sub => sub.version)),
       getLink: async () => await opts.dial(address),
       isLinkTemporary: true,
-      onFailure (why) { opts.log.event('documentNotFetched', { address, why }) }
+      onFailure (reason) { opts.log.event('documentNotFetched', { address, why: reason }) }
     }]
   }
 
   const toSource = (sub: Subscription): documentFetchers.DocumentSource[] => {
     const { address, version, link } = sub
-    return link === undefined ? [] : [{ address, version, getLink: async () => link, onFailure: why => { drop(sub, why) } }]
+    return link === undefined ? [] : [{ address, version, getLink: async () => link, onFailure: reason => { drop(sub, reason) } }]
   }
 
   const documents = documentFetchers.createDocumentFetcher({
-    controls: () => [...toFirstSource(), ...[...open].flatMap(toSource)],
+    controls: () => [...toInitialSource(), ...[...open].flatMap(toSource)],
     peerAddresses: opts.peerAddresses ?? (() => []),
-    getPeerLink: opts.getPeerLink ?? (async address => { throw new Error(`${address} is not reached from here`) }),
+    getPeerLink: opts.getPeerLink ?? (async address => { throw new Error(`no link to entry instance ${address}: links between entry instances are not configured`) }),
     onDocument: opts.onDocument,
     budget: opts.budget ?? sendBudgets.createSendBudget(Infinity),
     signal: stopped.signal,
@@ -167,59 +165,59 @@
 
   const find = (link: links.Link): Subscription | undefined => [...open].find(item => item.link === link)
 
-  const drop = (sub: Subscription, why: string): void => {
+  const drop = (sub: Subscription, reason: string): void => {
     if (!open.delete(sub)) return
-    const failed = (failures.get(sub.address) ?? 0) + 1
-    failures.set(sub.address, failed)
-    const mostMs = isAlone() ? AVOID_ALONE_MS : AVOID_MOST_MS
-    avoidUntil.set(sub.address, now() + Math.min(mostMs, AVOID_MS * 2 ** (failed - 1)))
+    const failureCount = (failures.get(sub.address) ?? 0) + 1
+    failures.set(sub.address, failureCount)
+    const maxBackoffMs = isBeforeContact() ? MAX_BACKOFF_BEFORE_CONTACT_MS : MAX_BACKOFF_MS
+    backoffUntil.set(sub.address, now() + Math.min(maxBackoffMs, MIN_BACKOFF_MS * 2 ** (failureCount - 1)))
     sub.link?.close()
-    opts.log.event('controlLost', { address: sub.address, why, subscriptions: open.size })
+    opts.log.event('controlLost', { address: sub.address, why: reason, subscriptions: open.size })
   }
 
   const subscribe = async (address: string): Promise<void> => {
-    const sub: Subscription = { address, link: undefined, heardAt: now(), isCurrent: true, currentAt: now(), version: 0 }
+    const sub: Subscription = { address, link: undefined, lastSeenAt: now(), isCurrent: true, lastQuorumAt: now(), version: 0 }
     open.add(sub)
     try {
       const link = await opts.dial(address)
       sub.link = link
       const call: messages.DiscoveryCall = { t: 'subscribe', self: opts.self(), version: documents.version() }
-      const reply = messages.discoveryReply.parse(await link.call(call, SUBSCRIBE_MS))
+      const reply = messages.discoveryReply.parse(await link.call(call, SUBSCRIBE_TIMEOUT_MS))
       if (!open.has(sub) || stopped.signal.aborted) {
         link.close()
         return
       }
-      sub.heardAt = now()
+      sub.lastSeenAt = now()
       opts.log.event('controlFound', { address, subscriptions: open.size })
-      if (reply.records !== null) takeRecords(messages.unpackRecords(reply.records))
+      if (reply.records !== null) mergeRecords(messages.unpackRecords(reply.records))
       controls = reply.controls
       documents.accept(reply.document)
       noteVersion(sub, reply.version)
-      void link.closed.then(why => { drop(sub, why) })
+      void link.closed.then(reason => { drop(sub, reason) })
     } catch (err) {
       drop(sub, err instanceof Error ? err.message : String(err))
     }
   }
 
-  /** @returns addresses of control instances that are not subscribed to and may be tried, in random order */
-  const candidates = (): string[] => {
-    const used = new Set([...open].map(sub => sub.address))
+  /** Returns the control instances that can be subscribed to, in random order: neither subscribed nor in back-off. */
+  const candidateAddresses = (): string[] => {
+    const subscribed = new Set([...open].map(sub => sub.address))
     const all = new Set([...controls, ...opts.seeds()])
-    return handoutPollers.toShuffled([...all].filter(address => !used.has(address) && (avoidUntil.get(address) ?? 0) <= now()))
+    return handoutPollers.toShuffled([...all].filter(address => !subscribed.has(address) && (backoffUntil.get(address) ?? 0) <= now()))
   }
 
-  const look = (): void => {
+  const updateSubscriptions = (): void => {
     for (const sub of open) {
-      if (now() - sub.heardAt > SILENT_MS) drop(sub, 'silent')
+      if (now() - sub.lastSeenAt > TICK_TIMEOUT_MS) drop(sub, 'silent')
     }
-    const free = candidates()
-    const stale = [...open].filter(sub => !sub.isCurrent && now() - sub.currentAt > NOT_CURRENT_MS)
-    // One that lost its quorum is better than none: it goes only when another one can be tried.
-    if (open.size >= SUBSCRIPTIONS && stale.length > 0 && free.length > 0) drop(stale[0], 'no quorum')
-    for (const address of free.slice(0, Math.max(0, SUBSCRIPTIONS - open.size))) void subscribe(address)
+    const candidates = candidateAddresses()
+    const withoutQuorum = [...open].filter(sub => !sub.isCurrent && now() - sub.lastQuorumAt > QUORUM_TIMEOUT_MS)
+    // A subscription without a quorum is dropped only if it can be replaced.
+    if (open.size >= MAX_SUBSCRIPTIONS && withoutQuorum.length > 0 && candidates.length > 0) drop(withoutQuorum[0], 'no quorum')
+    for (const address of candidates.slice(0, Math.max(0, MAX_SUBSCRIPTIONS - open.size))) void subscribe(address)
   }
 
-  const askHandouts = opts.fetchHandout === undefined
+  const fetchHandouts = opts.fetchHandout === undefined
     ? () => {}
     : handoutPollers.createHandoutPoller({
       seeds: opts.seeds,
@@ -227,7 +225,7 @@
       onReply (reply, address) {
         if (documents.version() > 0) return
         opts.log.event('handoutTaken', { address, version: reply.version })
-        if (reply.records !== null) takeRecords(messages.unpackRecords(reply.records))
+        if (reply.records !== null) mergeRecords(messages.unpackRecords(reply.records))
         if (controls.length === 0) controls = reply.controls
         documents.accept(reply.document)
       },
@@ -235,17 +233,17 @@
     })
 
   const run = async (): Promise<void> => {
-    let lastSignAt = now()
+    let lastTickAt = now()
     while (!stopped.signal.aborted) {
-      look()
-      if (documents.version() === 0) askHandouts()
-      if (now() - lastSignAt >= messages.TICK_INTERVAL_MS) {
-        lastSignAt = now()
+      updateSubscriptions()
+      if (documents.version() === 0) fetchHandouts()
+      if (now() - lastTickAt >= messages.TICK_INTERVAL_MS) {
+        lastTickAt = now()
         const self = opts.self()
         const event: messages.DiscoveryEvent = { t: 'tick', isCurrent: true, version: documents.version(), signs: [[self.id, self.startedAt, self.seq]], controls: [] }
         for (const sub of open) sub.link?.send(event)
       }
-      await timers.setTimeout(isAlone() ? LOOK_ALONE_MS : LOOK_MS, undefined, { ref: false })
+      await timers.setTimeout(isBeforeContact() ? POLL_INTERVAL_BEFORE_CONTACT_MS : POLL_INTERVAL_MS, undefined, { ref: false })
     }
   }
 
@@ -254,43 +252,42 @@
     onEvent (event, link) {
       const sub = find(link)
       if (sub === undefined) return
-      sub.heardAt = now()
+      sub.lastSeenAt = now()
       switch (event.t) {
-        case 'news': takeRecords(event.list); break
+        case 'news': mergeRecords(event.list); break
         case 'version': noteVersion(sub, event.version); break
         case 'tick':
           sub.isCurrent = event.isCurrent
           if (event.isCurrent) {
-            if (now() - currentAt > GAP_MS) currentSince = now()
-            currentAt = sub.currentAt = now()
+            if (now() - lastQuorumAt > MAX_TICK_GAP_MS) quorumSince = now()
+            lastQuorumAt = sub.lastQuorumAt = now()
             failures.delete(sub.address)
           }
           controls = event.controls
-          for (const sign of event.signs) opts.table.applyHeartbeat(sign, now())
-          // Guards against a document that was announced before this subscription, or whose announcement came while no link
-          // was up to fetch it.
+          for (const heartbeat of event.signs) opts.table.applyHeartbeat(heartbeat, now())
+          // Covers versions that were announced before this subscription, or while no link was open to fetch them.
           noteVersion(sub, event.version)
           break
         case 'signs': break
       }
     },
     onCall (call) {
-      if (call.t !== 'fetch') throw new Error(`an entry instance answers no call "${call.t}"`)
+      if (call.t !== 'fetch') throw new Error(`call "${call.t}" rejected: entry instances answer "fetch" only`)
       return documents.toReply(call.version)
     },
     notePeerVersion (address, version) {
       documents.notePeerVersion(address, version)
-      if (version > documents.version()) documents.scheduleFetch(SPARE_MS)
+      if (version > documents.version()) documents.scheduleFetch(SECONDARY_FETCH_DELAY_MS)
     },
     version: documents.version,
     newestVersion: documents.newestVersion,
-    isDocumentLatest: () => documents.version() > 0 && documents.newestVersion() <= documents.version() && now() - currentAt <= GAP_MS,
+    isDocumentLatest: () => documents.version() > 0 && documents.newestVersion() <= documents.version() && now() - lastQuorumAt <= MAX_TICK_GAP_MS,
     announce () {
       const event: messages.DiscoveryEvent = { t: 'news', list: [opts.self()] }
       for (const sub of open) sub.link?.send(event)
     },
-    lastQuorumAt: () => currentAt,
-    quorumSince: () => currentSince,
+    lastQuorumAt: () => lastQuorumAt,
+    quorumSince: () => quorumSince,
     subscriptionCount: () => open.size,
     stop () {
       stopped.abort()
