--- a/packages/coordination/src/controlInstance.ts
+++ b/packages/coordination/src/controlInstance.ts
@@ -1,6 +1,6 @@
 /**
- * A control instance: a replica of the document, the records of all endpoints and entry instances, and the links over which
- * both reach the others.
+ * A control instance: a replica of the configuration document, the records of all endpoints and entry instances, and the links
+ * to the other instances.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import * as discovery from '@kingcupdeck/discovery'
@@ -10,22 +10,22 @@
 import * as handoutFiles from './handoutFile.js'
 import * as recordFiles from './recordFile.js'
 
-/** What a control instance is built from. */
+/** Options of {@link startControlInstance}. */
 export interface ControlInstanceOptions {
-  /** IP number and port for the other instances; also the name of this one. */
+  /** IP address and port for the other instances; also the name of this instance. */
   inner: string
-  /** Inner addresses of the instances that found the group. */
+  /** Inner addresses of the first voters of the group. */
   founders: readonly string[]
-  /** Whether the group may be founded: only at the very first start of the whole fleet. */
+  /** Whether the group may be created: true only at the first start of the fleet. */
   mayFound: boolean
-  /** Inner addresses of control instances as the settings name them now. */
+  /** Inner addresses of control instances, from the current settings. */
   contacts: () => readonly string[]
-  /** How many disks may be lost at once. */
+  /** Number of disks that may fail at the same time without loss of the document. */
   maxFailedDisks: number
   dataFolder: string
-  /** What all instances of the fleet must know. */
+  /** Secret shared by all instances of the fleet. */
   secret: string
-  /** What this machine's link carries, bytes a millisecond; absent where that is not known. */
+  /** Capacity of this machine's link, bytes per millisecond; unlimited by default. */
   linkBytesPerMs?: number
   log: telemetry.Log
   invariants: telemetry.Invariants
@@ -35,23 +35,19 @@
 export interface ControlInstance {
   store: documentStores.DocumentStore
   table: discovery.RecordTable
-  /** Takes an announcement; resolves when the change is on its way to all instances. */
+  /** Accepts an announcement. See {@link discovery.Publisher.announce}. */
   announce: (record: discovery.Record) => Promise<void>
   stop: () => Promise<void>
 }
 
-const DIAL_MS = 1000
+const DIAL_TIMEOUT_MS = 1000
 
-/**
- * Starts a control instance.
- * @param opts its addresses, disk and fleet
- * @returns the instance, which may not be part of the group yet
- */
+/** Starts a control instance, which may still have to join the group when this resolves. */
 export async function startControlInstance (opts: ControlInstanceOptions): Promise<ControlInstance> {
   const { log } = opts
   const table = discovery.createRecordTable()
   let isStopping = false
-  let onDocument = (): void => {}
+  let onDocumentChange = (): void => {}
 
   const handlers: links.LinkHandlers = {
     onEvent (body) {
@@ -59,14 +55,14 @@
       if (event.success) publisher.onEvent(event.data)
     },
     async onCall (body, link) {
-      const call = (body as { t?: unknown })?.t
-      if (call === 'replica' || call === 'put' || call === 'read') return await store.onCall(documentStores.documentCall.parse(body))
+      const tag = (body as { t?: unknown })?.t
+      if (tag === 'replica' || tag === 'put' || tag === 'read') return await store.onCall(documentStores.documentCall.parse(body))
       return await publisher.onCall(discovery.discoveryCall.parse(body), link)
     }
   }
-  const linkSettings: links.LinkSettings = { identity: { role: 'control', id: opts.inner }, secret: opts.secret, log, handlers }
-  const book = links.createPeerLinks(linkSettings)
-  const reach = links.createPeerDialer(book, { dialTimeoutMs: DIAL_MS, backoffMs: contracts.HEARTBEAT_INTERVAL_MS }).get
+  const linkCfg: links.LinkSettings = { identity: { role: 'control', id: opts.inner }, secret: opts.secret, log, handlers }
+  const book = links.createPeerLinks(linkCfg)
+  const reach = links.createPeerDialer(book, { dialTimeoutMs: DIAL_TIMEOUT_MS, backoffMs: contracts.HEARTBEAT_INTERVAL_MS }).get
 
   const store = await documentStores.startDocumentStore({
     self: opts.inner,
@@ -76,7 +72,7 @@
     maxFailedDisks: opts.maxFailedDisks,
     dataFolder: opts.dataFolder,
     getPeerLink: reach,
-    onChange: () => { onDocument() },
+    onChange: () => { onDocumentChange() },
     log,
     invariants: opts.invariants
   })
@@ -102,13 +98,13 @@
 
   const handoutFile = handoutFiles.createHandoutFile(opts.dataFolder, () => store.latest() === null ? undefined : publisher.toFullReply(), log)
 
-  onDocument = () => {
+  onDocumentChange = () => {
     log.event('documentAccepted', { version: store.latest()?.version })
     publisher.publishDocument()
     handoutFile.save()
   }
 
-  const server = await links.listen(opts.inner, linkSettings, link => {
+  const server = await links.listen(opts.inner, linkCfg, link => {
     if (link.peer.role === 'control') book.add(link)
   })
   const timer = setInterval(() => { publisher.tick() }, discovery.TICK_INTERVAL_MS)
--- a/packages/coordination/src/controlMetrics.ts
+++ b/packages/coordination/src/controlMetrics.ts
@@ -1,4 +1,4 @@
-/** The metrics of a control instance of the forwarding fleet. */
+/** Prometheus metrics of a control instance of the forwarding fleet. */
 import * as prom from 'prom-client'
 import type * as controlInstances from './controlInstance.js'
 
@@ -7,26 +7,24 @@
 /** The metrics of a control instance. */
 export interface ControlMetrics {
   registry: prom.Registry
-  /** Calls of operators and endpoints by kind and status. */
+  /** Duration of calls of operators and endpoints, seconds, by kind and status. */
   calls: prom.Histogram<'call' | 'status'>
 }
 
 /**
  * Creates the metrics.
- * @param node the control instance
- * @param droppedLines log lines that were left out so far
- * @returns the metrics and their registry
+ * @param droppedLines returns the number of log lines dropped so far
  */
-export function createControlMetrics (node: controlInstances.ControlInstance, droppedLines: () => number): ControlMetrics {
+export function createControlMetrics (instance: controlInstances.ControlInstance, droppedLines: () => number): ControlMetrics {
   const registry = new prom.Registry()
   const registers = [registry]
   const gauge = (name: string, help: string, read: () => number): void => {
     const created = new prom.Gauge({ name, help, registers, collect () { created.set(read()) } })
   }
-  gauge('kingcupdeck_document_version', 'Version of the document held here', () => node.store.latest()?.version ?? 0)
-  gauge('kingcupdeck_control_current', 'Whether a quorum of control instances was heard lately', () => node.store.isCurrent() ? 1 : 0)
-  gauge('kingcupdeck_control_leads', 'Whether this instance leads the group of the document', () => node.store.isLeader() ? 1 : 0)
-  gauge('kingcupdeck_records', 'Endpoints and entry instances that are known and not gone', () => node.table.all().filter(item => item.state !== 'gone').length)
+  gauge('kingcupdeck_document_version', 'Version of the document held here', () => instance.store.latest()?.version ?? 0)
+  gauge('kingcupdeck_control_current', 'Whether a quorum of control instances was heard lately', () => instance.store.isCurrent() ? 1 : 0)
+  gauge('kingcupdeck_control_leads', 'Whether this instance leads the group of the document', () => instance.store.isLeader() ? 1 : 0)
+  gauge('kingcupdeck_records', 'Endpoints and entry instances that are known and not gone', () => instance.table.all().filter(item => item.state !== 'gone').length)
   gauge('kingcupdeck_log_lines_dropped', 'Log lines that were left out to stay within bounds', droppedLines)
   return {
     registry,
--- a/packages/coordination/src/documentMachine.ts
+++ b/packages/coordination/src/documentMachine.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated state of the forwarding fleet: the operators' latest document, as they sent it. The highest version wins;
- * there is no compare-and-set, so a resend or an older version changes nothing and is accepted again.
+ * The replicated state machine of the forwarding fleet: the latest configuration document, byte for byte. The highest version
+ * wins. There is no compare-and-set: puts of the same or an older version change nothing.
  */
 import * as cbor from 'cbor-x'
 import * as z from 'zod'
@@ -8,59 +8,57 @@
 import * as state from '@kingcupdeck/state'
 
 /**
- * What became of a document: stored, held already, behind a newer one, in conflict with another text of its version, or not
- * readable since it is the difference from a text that is not held; then it is to be sent whole.
+ * Result of a put: stored; the same document is already stored (`held`); a newer one is stored (`behind`); another text is stored
+ * under the same version (`conflict`); or a delta whose base is missing, to be resent as a full document (`needsWhole`). The
+ * version is that of the stored document.
  */
 export const putResult = z.object({ kind: z.enum(['stored', 'held', 'behind', 'conflict', 'needsWhole']), version: z.number() })
-/** What became of a document. */
+/** Result of a put. */
 export type PutResult = z.infer<typeof putResult>
 
-/** The machine, with what readers need of its state. */
+/** The state machine, with read access to its state. */
 export interface DocumentMachine extends state.Machine {
-  /** @returns the latest document, or null before the first */
+  /** Returns the latest document, null before the first. */
   latest (): contracts.VersionedText | null
 }
 
 const codec = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
 
 /**
- * Tells what becomes of a document that does not change what is held.
- * @param held the document that is held
- * @param put version and digest of the document that is put
- * @returns the result, or undefined where the document is newer
+ * Returns the result of a put that does not change the stored document, undefined if the put is newer.
+ * @param put version and digest of the new document
  */
-export function resolveStalePut (held: contracts.VersionedText | null, put: { version: number, digest: string }): PutResult | undefined {
-  if (held === null || put.version > held.version) return undefined
-  if (put.version < held.version) return { kind: 'behind', version: held.version }
-  return { kind: put.digest === held.digest ? 'held' : 'conflict', version: held.version }
+export function resolveStalePut (stored: contracts.VersionedText | null, put: { version: number, digest: string }): PutResult | undefined {
+  if (stored === null || put.version > stored.version) return undefined
+  if (put.version < stored.version) return { kind: 'behind', version: stored.version }
+  return { kind: put.digest === stored.digest ? 'held' : 'conflict', version: stored.version }
 }
 
 /**
- * Creates the machine.
- * @param onChange told when another document is held, and how it came, unless it was restored
- * @returns the machine, empty
+ * Creates an empty state machine.
+ * @param onChange called when the document changes, with its packed form unless it was restored from a snapshot
  */
 export function createDocumentMachine (onChange: (packed?: contracts.PackedText) => void = () => {}): DocumentMachine {
-  let held: contracts.VersionedText | null = null
+  let latest: contracts.VersionedText | null = null
 
   const put = (packed: contracts.PackedText): PutResult => {
-    const old = resolveStalePut(held, packed)
-    if (old !== undefined) return old
-    const text = contracts.unpackText(packed, held)
-    if (text === undefined) return { kind: 'needsWhole', version: held?.version ?? 0 }
-    held = text
+    const staleResult = resolveStalePut(latest, packed)
+    if (staleResult !== undefined) return staleResult
+    const document = contracts.unpackText(packed, latest)
+    if (document === undefined) return { kind: 'needsWhole', version: latest?.version ?? 0 }
+    latest = document
     onChange(packed)
-    return { kind: 'stored', version: text.version }
+    return { kind: 'stored', version: document.version }
   }
 
   return {
     apply: command => put(command as contracts.PackedText),
-    save: () => codec.encode(held === null ? null : contracts.packFull(held)),
+    save: () => codec.encode(latest === null ? null : contracts.packFull(latest)),
     restore (bytes) {
       const saved = codec.decode(bytes) as contracts.PackedText | null
-      held = saved === null ? null : contracts.unpackText(saved, null) ?? null
+      latest = saved === null ? null : contracts.unpackText(saved, null) ?? null
       onChange()
     },
-    latest: () => held
+    latest: () => latest
   }
 }
--- a/packages/coordination/src/documentStore.ts
+++ b/packages/coordination/src/documentStore.ts
@@ -1,6 +1,6 @@
 /**
- * The replica of the document on one control instance, kept running through failures of its disk, with reads and writes
- * that go to whichever replica leads.
+ * The replica of the configuration document on one control instance. Restarts after disk failures, and forwards reads and writes
+ * to the leader.
  */
 import * as crypto from 'node:crypto'
 import * as path from 'node:path'
@@ -25,97 +25,91 @@
 const readReply = z.object({ packed: contracts.packedText.nullable(), isSame: z.boolean() })
 type ReadReply = z.infer<typeof readReply>
 
-/** What a store is built from. */
+/** Options of {@link startDocumentStore}. */
 export interface DocumentStoreOptions {
-  /** Inner address of this instance; its name in the group. */
+  /** Inner address of this instance, also its name in the group. */
   self: string
-  /** Inner addresses of the instances that found the group. */
+  /** Inner addresses of the first voters of the group. */
   founders: readonly string[]
-  /** Whether the group may be founded: only at the very first start of the whole fleet. */
+  /** Whether the group may be created: true only at the first start of the fleet. */
   mayFound: boolean
-  /** Inner addresses of control instances as the settings name them now. */
+  /** Inner addresses of control instances, from the current settings. */
   contacts: () => readonly string[]
-  /** How many disks may be lost at once. */
+  /** Number of disks that may fail at the same time without loss of the document. */
   maxFailedDisks: number
   dataFolder: string
-  /** @returns a link to another control instance */
+  /** Returns a link to another control instance. */
   getPeerLink: (address: string) => Promise<links.Link>
+  /** Called when the local document changed. */
   onChange: () => void
   log: telemetry.Log
   invariants: telemetry.Invariants
 }
 
-/** The document on one control instance. */
+/** The configuration document on one control instance. */
 export interface DocumentStore {
-  /** @returns the document as applied here, which may be behind */
+  /** Returns the document as applied locally, which may be stale. */
   latest (): contracts.VersionedText | null
-  /** @returns the document as applied here, packed for a reader who holds a version of it, or null if that is the latest */
+  /** Packs the document as applied locally for a reader of a version of it; null if the reader has the latest. */
   packSince (version: number): contracts.PackedText | null
   /**
-   * Stores a document, at whichever replica leads.
-   * @throws Error when the outcome is not known in time; the same document may be sent again
+   * Stores a document through the leader.
+   * @throws Error when the outcome is unknown after the timeout; the put may be repeated
    */
   put (document: contracts.VersionedText, timeoutMs: number): Promise<documentMachines.PutResult>
   /**
-   * Reads the document so that nothing acknowledged before the call is missing.
-   * @throws Error when that cannot be made sure in time
+   * Reads the document linearizably: the result includes every put acknowledged before the call.
+   * @throws Error when no leader with a quorum confirmed it within the timeout
    */
   read (timeoutMs: number): Promise<contracts.VersionedText | null>
   /** Answers a call of another control instance. */
   onCall (call: DocumentCall): Promise<unknown>
-  /** @returns whether a quorum, or a leader with one, was heard lately */
+  /** Returns whether this replica was in contact with a quorum, or with a leader that has one, recently. */
   isCurrent (): boolean
-  /** @returns inner addresses of the other members of the group */
+  /** Returns the inner addresses of the other members of the group. */
   peerAddresses (): string[]
-  /** @returns whether this instance leads the group */
+  /** Returns whether this instance is the leader. */
   isLeader (): boolean
   stop (): Promise<void>
 }
 
 const GROUP = 'document'
-/**
- * Faster than a fleet with thousands of leases: after all replicas were killed, the wait for the next leader is most of the
- * time without a confirmed document. A slow disk's sync (150 ms) and a stall of a small processor fit into the shortest wait.
- */
+/** The shortest election timeout must exceed the sync of a slow disk plus a stall of the process. */
 const TIMING: state.ReplicaTiming = { heartbeatMs: 200, electionMinMs: 700, electionMaxMs: 1300 }
-/** Longer than a sync of a slow disk, shorter than an election. */
+/** Longer than the sync of a slow disk, shorter than an election. */
 const RPC_TIMEOUT_MS = 800
-/** A replica is current while its group was heard within this time: two heartbeats and a stall of the process. */
+/** A replica is current for this long after the last contact with its group: several heartbeats and a stall of the process. */
 const CURRENT_TIMEOUT_MS = 1500
-/** Pause before a replica whose disk failed is started again; a full disk stays full for seconds. */
+/** Pause before a replica is restarted after a disk failure. */
 const RESTART_PAUSE_MS = 700
 const RETRY_PAUSE_MS = 60
-/** A replica that starts applies up to so many differences before it can hand out the document. */
+/** Log entries between snapshots. A starting replica applies up to this many before its document is available. */
 const SNAPSHOT_ENTRIES = 30
 
-/**
- * Starts the replica and keeps it running.
- * @param opts where it lives and how the others are reached
- * @returns the store
- */
+/** Starts the replica, and restarts it after disk failures until the store is stopped. */
 export async function startDocumentStore (opts: DocumentStoreOptions): Promise<DocumentStore> {
   const stopped = new AbortController()
   let replica: state.Replica | undefined
   let machine = documentMachines.createDocumentMachine()
   let lastVoters: string[] = []
   const history = discovery.createDocumentHistory()
-  let best: contracts.VersionedText | null = null
-  /** The document that was proposed here last: the next one follows it in the log, so it goes in as the difference from it. */
-  let proposed: contracts.VersionedText | null = null
-  let isTelling = false
+  /** The newest document applied by any incarnation of the replica in this process. */
+  let latest: contracts.VersionedText | null = null
+  /** The document proposed last by this leader, base of the next delta because it precedes it in the log. */
+  let lastProposed: contracts.VersionedText | null = null
+  let isNotificationPending = false
 
   const onChange = (packed?: contracts.PackedText): void => {
-    const now = machine.latest()
-    // A replica that starts again applies its log from the beginning; what was told before is not told again.
-    if (now === null || (best !== null && now.version <= best.version)) return
-    best = now
-    history.add(now, packed)
-    if (isTelling) return
-    isTelling = true
-    // A replica that starts applies its whole log in one go: only the last document of that is told, or every entry instance
-    // would be handed the history, version by version.
+    const applied = machine.latest()
+    // A restarted replica applies its log from the beginning; versions that were already applied cause no notification.
+    if (applied === null || (latest !== null && applied.version <= latest.version)) return
+    latest = applied
+    history.add(applied, packed)
+    if (isNotificationPending) return
+    isNotificationPending = true
+    // Coalesces the documents that a starting replica applies from its log, so that only the last one is published.
     setImmediate(() => {
-      isTelling = false
+      isNotificationPending = false
       opts.onChange()
     })
   }
@@ -127,12 +121,12 @@
     }
   }
 
-  // Guards against a disk that is full or fails for some seconds: the replica cannot go on with what it has not written,
-  // but the process can, and reads through the other replicas do; it is built anew from what the disk holds.
+  // After a failed write the replica must not continue. It is recreated from the disk, so that a temporary disk failure does not
+  // end the process; meanwhile reads go through the other replicas.
   const restart = async (): Promise<void> => {
-    const failed = replica
+    const failedReplica = replica
     replica = undefined
-    await failed?.stop().catch(err => { opts.log.event('replicaRestarted', { step: 'stop', detail: String(err) }) })
+    await failedReplica?.stop().catch(err => { opts.log.event('replicaRestarted', { step: 'stop', detail: String(err) }) })
     while (!stopped.signal.aborted) {
       await timers.setTimeout(RESTART_PAUSE_MS)
       try {
@@ -169,45 +163,42 @@
     })
   }
 
-  const leader = (): string | null => replica?.leaderName() ?? null
+  const leaderName = (): string | null => replica?.leaderName() ?? null
 
   const propose = async (packed: contracts.PackedText): Promise<documentMachines.PutResult> => {
-    if (replica === undefined) throw new Error('the replica is being restarted')
+    if (replica === undefined) throw new Error('replica of the document is restarting after a disk failure; try again')
     return await replica.propose(packed) as documentMachines.PutResult
   }
 
-  /**
-   * Stores at this replica, which leads. Load pattern: operators change one entry several times a second just after they added
-   * two thousand; whole, each change takes the leader's link of a few Mbit/s half a second for eight followers.
-   */
-  const putHere = async (document: contracts.VersionedText): Promise<documentMachines.PutResult> => {
-    const from = proposed ?? machine.latest()
-    if (from === null || document.version > from.version) proposed = document
-    if (from === null) return await propose(contracts.packFull(document))
-    const result = await propose(contracts.packDelta(from, document))
-    // What was proposed before it did not come to be held: another leader's change came between, or it was an older version.
+  /** Proposes a document at this replica, the leader; as a delta if possible, since full documents would saturate slow links. */
+  const putLocally = async (document: contracts.VersionedText): Promise<documentMachines.PutResult> => {
+    const base = lastProposed ?? machine.latest()
+    if (base === null || document.version > base.version) lastProposed = document
+    if (base === null) return await propose(contracts.packFull(document))
+    const result = await propose(contracts.packDelta(base, document))
+    // The base was not stored: another leader's put preceded it, or it was an older version.
     return result.kind === 'needsWhole' ? await propose(contracts.packFull(document)) : result
   }
 
-  const readHere = async (timeoutMs: number): Promise<contracts.VersionedText | null> => {
-    if (replica === undefined) throw new Error('the replica is being restarted')
+  const readLocally = async (timeoutMs: number): Promise<contracts.VersionedText | null> => {
+    if (replica === undefined) throw new Error('replica of the document is restarting after a disk failure; try again')
     await replica.confirmLeadership(timeoutMs)
     return machine.latest()
   }
 
-  /** Tries here or at the leader until it works or the time is over. */
-  const retry = async <T>(timeoutMs: number, here: (leftMs: number) => Promise<T>, there: (link: links.Link, leftMs: number) => Promise<T>): Promise<T> => {
-    const until = performance.now() + timeoutMs
-    let last: unknown = new Error('no leader is known')
+  /** Runs an operation at the leader, local or remote; retries until it succeeds or the timeout expires. */
+  const retry = async <T>(timeoutMs: number, locally: (leftMs: number) => Promise<T>, remotely: (link: links.Link, leftMs: number) => Promise<T>): Promise<T> => {
+    const deadline = performance.now() + timeoutMs
+    let lastErr: unknown = new Error(`no leader known within ${timeoutMs} ms`)
     while (true) {
-      const leftMs = until - performance.now()
-      if (leftMs <= RETRY_PAUSE_MS) throw last
-      const name = leader()
+      const leftMs = deadline - performance.now()
+      if (leftMs <= RETRY_PAUSE_MS) throw lastErr
+      const name = leaderName()
       try {
-        if (name === opts.self) return await links.withTimeout(here(leftMs), leftMs, 'no outcome')
-        if (name !== null) return await links.withTimeout(opts.getPeerLink(name).then(async link => await there(link, leftMs)), leftMs, 'no outcome')
+        if (name === opts.self) return await links.withTimeout(locally(leftMs), leftMs, 'no result from this leader')
+        if (name !== null) return await links.withTimeout(opts.getPeerLink(name).then(async link => await remotely(link, leftMs)), leftMs, `no answer from leader ${name}`)
       } catch (err) {
-        last = err
+        lastErr = err
       }
       await timers.setTimeout(RETRY_PAUSE_MS)
     }
@@ -216,38 +207,38 @@
   replica = await create()
 
   return {
-    latest: () => best,
+    latest: () => latest,
     packSince: history.packSince,
     async put (document, timeoutMs) {
-      // What is applied is committed: an older document or a resend needs no leader.
-      const old = documentMachines.resolveStalePut(best, document)
-      if (old !== undefined) return old
-      return await retry(timeoutMs, async () => await putHere(document), async (link, leftMs) => {
+      // Applied entries are committed, so a repeated or older put is answered without the leader.
+      const staleResult = documentMachines.resolveStalePut(latest, document)
+      if (staleResult !== undefined) return staleResult
+      return await retry(timeoutMs, async () => await putLocally(document), async (link, leftMs) => {
         const call: DocumentCall = { t: 'put', packed: contracts.packFull(document) }
         return documentMachines.putResult.parse(await link.call(call, leftMs))
       })
     },
     async read (timeoutMs) {
-      return await retry(timeoutMs, readHere, async (link, leftMs) => {
-        const reply: ReadReply = readReply.parse(await link.call({ t: 'read', version: best?.version ?? 0 } satisfies DocumentCall, leftMs))
-        if (reply.isSame) return best
+      return await retry(timeoutMs, readLocally, async (link, leftMs) => {
+        const reply: ReadReply = readReply.parse(await link.call({ t: 'read', version: latest?.version ?? 0 } satisfies DocumentCall, leftMs))
+        if (reply.isSame) return latest
         return reply.packed === null ? null : contracts.unpackText(reply.packed, null) ?? null
       })
     },
     async onCall (call) {
       switch (call.t) {
         case 'replica':
-          if (replica === undefined) throw new Error('the replica is being restarted')
+          if (replica === undefined) throw new Error('replica of the document is restarting after a disk failure; try again')
           return await replica.handle(state.rpc.parse(call.msg))
         case 'put': {
           const document = contracts.unpackText(call.packed, null)
-          if (document === undefined) throw new Error('a document is put whole')
-          return await putHere(document)
+          if (document === undefined) throw new Error(`put of version ${call.packed.version} rejected: it must be a full document, not a delta`)
+          return await putLocally(document)
         }
         case 'read': {
-          const held = await readHere(RPC_TIMEOUT_MS)
-          const isSame = held !== null && held.version === call.version
-          return { packed: isSame || held === null ? null : contracts.packFull(held), isSame } satisfies ReadReply
+          const document = await readLocally(RPC_TIMEOUT_MS)
+          const isSame = document !== null && document.version === call.version
+          return { packed: isSame || document === null ? null : contracts.packFull(document), isSame } satisfies ReadReply
         }
       }
     },
@@ -259,7 +250,7 @@
       all.delete(opts.self)
       return [...all]
     },
-    isLeader: () => leader() === opts.self,
+    isLeader: () => leaderName() === opts.self,
     async stop () {
       stopped.abort()
       await replica?.stop()
--- a/packages/coordination/src/handoutFile.ts
+++ b/packages/coordination/src/handoutFile.ts
@@ -1,20 +1,18 @@
 /**
- * Keeps on disk what a restarted control instance hands out first. Nothing waits for it: what a loss of power takes or spoils is
- * learned a moment later from the instance itself.
+ * Writes the handout of a control instance to its disk, to be served at its next start. A lost or damaged file only delays entry
+ * instances until the control instance has started.
  */
 import * as discovery from '@kingcupdeck/discovery'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as writeBehindFiles from './writeBehindFile.js'
 
-/** Changes that follow each other are written together: a whole document is packed for each write. */
+/** Changes within this time are written together, since each write packs the full document. */
 const BATCH_DELAY_MS = 250
 
 /**
- * Creates the keeper of the file.
- * @param folder where it lies
- * @param content what is to be handed out, or undefined if there is nothing yet
- * @param log where failures are noted
- * @returns the keeper
+ * Creates the handout file.
+ * @param folder the instance's data folder
+ * @param content returns the current handout, undefined before the first document
  */
 export function createHandoutFile (folder: string, content: () => discovery.DiscoveryReply | undefined, log: telemetry.Log): writeBehindFiles.WriteBehindFile {
   return writeBehindFiles.createWriteBehindFile({
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of coordination: the control instance of the forwarding fleet. */
+/** Public API of coordination: the control instance of the forwarding fleet. */
 export type * from './controlMetrics.js'
 export * from './controlInstance.js'
 export * from './documentMachine.js'
--- a/packages/coordination/src/recordFile.ts
+++ b/packages/coordination/src/recordFile.ts
@@ -1,7 +1,6 @@
 /**
- * The records of a control instance, kept in a file so that a restart knows endpoints and entry instances at once and need
- * not wait for their next announcements. Nothing waits for it: what a power loss takes is announced again within a second,
- * and what it spoils is found by its digest and left out.
+ * Persists the records of a control instance, so that they are known directly after a restart. A file that does not match its
+ * digest is ignored; lost records are restored by the next announcements.
  */
 import * as fs from 'node:fs/promises'
 import * as path from 'node:path'
@@ -12,18 +11,16 @@
 
 const FILE_NAME = 'records'
 
-/** Keeps records in a file. */
+/** The file of records. */
 export interface RecordFile extends writeBehindFiles.WriteBehindFile {
-  /** @returns what the file holds */
+  /** Reads the records; returns none if the file is missing or damaged. */
   load: () => Promise<discovery.Record[]>
 }
 
 /**
- * Creates the keeper of a file.
- * @param folder where it lies
- * @param list the records to write
- * @param log where failures are noted
- * @returns the keeper
+ * Creates the file of records.
+ * @param folder the instance's data folder
+ * @param list returns the records to write
  */
 export function createRecordFile (folder: string, list: () => discovery.Record[], log: telemetry.Log): RecordFile {
   const content = (): string => {
--- a/packages/coordination/src/writeBehindFile.ts
+++ b/packages/coordination/src/writeBehindFile.ts
@@ -1,45 +1,40 @@
 /**
- * A small file that follows what a process holds. Nothing waits for it: changes that come while it is written are written
- * together, and a disk that fails costs a line in the log.
+ * A small file that is written in the background when the state of the process changes. Changes during a write are coalesced into
+ * the next one; failed writes are logged.
  */
 import * as timers from 'node:timers/promises'
 import * as state from '@kingcupdeck/state'
 import * as telemetry from '@kingcupdeck/telemetry'
 
-/** What a kept file is built from. */
+/** Options of {@link createWriteBehindFile}. */
 export interface WriteBehindFileOptions {
-  /** The folder where it lies. */
   folder: string
   name: string
-  /** How long a write waits for further changes, milliseconds. */
+  /** How long a write waits for further changes. */
   batchDelayMs: number
-  /** @returns what is to be written now, or undefined if there is nothing yet */
+  /** Returns the current content, undefined if there is nothing to write yet. */
   content: () => string | Buffer | undefined
   log: telemetry.Log
 }
 
-/** Keeps a file. */
+/** A file that is written in the background. */
 export interface WriteBehindFile {
-  /** Has the file written as things are then; calls that come while it is written are served together. */
+  /** Schedules a write of the current content. */
   save: () => void
-  /** Takes no further calls and waits for the last write. */
+  /** Ignores further calls of `save` and waits for the scheduled write. */
   close: () => Promise<void>
 }
 
-/**
- * Creates the keeper of a file.
- * @param opts the file and what goes into it
- * @returns the keeper
- */
+/** Creates the file's writer; nothing is written before the first `save`. */
 export function createWriteBehindFile (opts: WriteBehindFileOptions): WriteBehindFile {
-  let isWaiting = false
+  let isWriteScheduled = false
   let isClosed = false
-  let writing: Promise<void> | undefined
+  let pendingWrite: Promise<void> | undefined
 
   const write = async (): Promise<void> => {
-    while (isWaiting) {
+    while (isWriteScheduled) {
       if (opts.batchDelayMs > 0) await timers.setTimeout(opts.batchDelayMs)
-      isWaiting = false
+      isWriteScheduled = false
       const content = opts.content()
       if (content !== undefined) await state.replaceFile(opts.folder, opts.name, content)
     }
@@ -48,14 +43,14 @@
   return {
     save () {
       if (isClosed) return
-      isWaiting = true
-      writing ??= write()
+      isWriteScheduled = true
+      pendingWrite ??= write()
         .catch(err => { opts.log.event('recordsNotKept', { file: opts.name, detail: err instanceof Error ? err.message : String(err) }) })
-        .finally(() => { writing = undefined })
+        .finally(() => { pendingWrite = undefined })
     },
     async close () {
       isClosed = true
-      await writing
+      await pendingWrite
     }
   }
 }
--- a/packages/discovery/src/index.ts
+++ b/packages/discovery/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of discovery: records of endpoints and entry instances, and the subscription that spreads them. */
+/** Public API of discovery: records of endpoints and entry instances, and the subscriptions that distribute them. */
 export * from './documentHistory.js'
 export * from './handout.js'
 export { toShuffled } from './handoutPoller.js'
