--- a/packages/coordination/__tests__/controlInstance.test.ts
+++ b/packages/coordination/__tests__/controlInstance.test.ts
@@ -1,4 +1,4 @@
-/** Control instances over loopback, with real folders. */
+/** Control instances over loopback, with data folders on disk. */
 import * as ava from 'ava'
 import * as fs from 'node:fs/promises'
 import * as net from 'node:net'
@@ -13,7 +13,7 @@
 const test = ava.default
 const WAIT_MS = 20_000
 
-async function freeAddress (): Promise<string> {
+async function findFreeAddress (): Promise<string> {
   const server = net.createServer()
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
   const { port } = server.address() as net.AddressInfo
@@ -21,11 +21,11 @@
   return `127.0.0.1:${port}`
 }
 
-interface TestNode { inner: string, folder: string, node: coordination.ControlInstance }
+interface TestInstance { inner: string, folder: string, control: coordination.ControlInstance }
 
-async function start (inner: string, founders: string[], folder: string, mayFound: boolean): Promise<TestNode> {
+async function start (inner: string, founders: string[], folder: string, mayFound: boolean): Promise<TestInstance> {
   const log = telemetry.createLog({ instance: inner, level: 'silent' })
-  const node = await coordination.startControlInstance({
+  const control = await coordination.startControlInstance({
     inner,
     founders,
     mayFound,
@@ -36,18 +36,18 @@
     log,
     invariants: telemetry.createInvariants({ log, isFatal: true })
   })
-  return { inner, folder, node }
+  return { inner, folder, control }
 }
 
-async function startFleet (count: number): Promise<TestNode[]> {
-  const addresses = await Promise.all(Array.from({ length: count }, freeAddress))
+async function startFleet (count: number): Promise<TestInstance[]> {
+  const addresses = await Promise.all(Array.from({ length: count }, findFreeAddress))
   return await Promise.all(addresses.map(async inner => await start(inner, addresses.slice(0, 3), await fs.mkdtemp(path.join(os.tmpdir(), 'kcd-')), true)))
 }
 
-async function until (what: string, holds: () => boolean): Promise<void> {
-  const end = performance.now() + WAIT_MS
-  while (!holds()) {
-    if (performance.now() > end) throw new Error(`waited in vain until ${what}`)
+async function until (description: string, isTrue: () => boolean): Promise<void> {
+  const deadline = performance.now() + WAIT_MS
+  while (!isTrue()) {
+    if (performance.now() > deadline) throw new Error(`timed out after ${WAIT_MS} ms waiting until ${description}`)
     await timers.setTimeout(20)
   }
 }
@@ -56,65 +56,64 @@
   return contracts.toVersionedText(version, Buffer.from(text))
 }
 
-function toText (held: contracts.VersionedText | null): string | undefined {
-  return held?.text.toString()
+function toText (document: contracts.VersionedText | null): string | undefined {
+  return document?.text.toString()
 }
 
-async function stopAll (nodes: TestNode[], isLast = true): Promise<void> {
-  await Promise.all(nodes.map(async item => { await item.node.stop() }))
-  if (isLast) await Promise.all(nodes.map(async item => { await fs.rm(item.folder, { recursive: true, force: true }) }))
+async function stopAll (instances: TestInstance[], isLast = true): Promise<void> {
+  await Promise.all(instances.map(async item => { await item.control.stop() }))
+  if (isLast) await Promise.all(instances.map(async item => { await fs.rm(item.folder, { recursive: true, force: true }) }))
 }
 
-test('the highest version wins, a resend is taken again, other content under a held version is a conflict', async t => {
-  const nodes = await startFleet(4)
-  await until('all are current', () => nodes.every(item => item.node.store.isCurrent()))
-  t.is((await nodes[3].node.store.put(toDocument(5, 'five'), 5000)).kind, 'stored')
-  t.is((await nodes[0].node.store.put(toDocument(5, 'five'), 5000)).kind, 'held')
-  t.is((await nodes[1].node.store.put(toDocument(3, 'three'), 5000)).kind, 'behind')
-  t.is((await nodes[2].node.store.put(toDocument(5, 'other'), 5000)).kind, 'conflict')
-  for (const item of nodes) t.is(toText(await item.node.store.read(5000)), 'five')
-  await stopAll(nodes)
+test('the highest version wins, a repeated put is acknowledged, other content of the same version is a conflict', async t => {
+  const instances = await startFleet(4)
+  await until('all are current', () => instances.every(item => item.control.store.isCurrent()))
+  t.is((await instances[3].control.store.put(toDocument(5, 'five'), 5000)).kind, 'stored')
+  t.is((await instances[0].control.store.put(toDocument(5, 'five'), 5000)).kind, 'held')
+  t.is((await instances[1].control.store.put(toDocument(3, 'three'), 5000)).kind, 'behind')
+  t.is((await instances[2].control.store.put(toDocument(5, 'other'), 5000)).kind, 'conflict')
+  for (const item of instances) t.is(toText(await item.control.store.read(5000)), 'five')
+  await stopAll(instances)
 })
 
-// An operator is told "accepted" and reads the configuration back at another instance at once.
-test('a read after an acknowledgement finds it, at whichever instance', async t => {
-  const nodes = await startFleet(3)
-  await until('all are current', () => nodes.every(item => item.node.store.isCurrent()))
+// An operator may read the document at another instance directly after a put.
+test('a read at any instance includes acknowledged puts', async t => {
+  const instances = await startFleet(3)
+  await until('all are current', () => instances.every(item => item.control.store.isCurrent()))
   for (let version = 1; version <= 12; version++) {
-    await nodes[version % 3].node.store.put(toDocument(version, `v${version}`), 5000)
-    t.is(toText(await nodes[(version + 1) % 3].node.store.read(5000)), `v${version}`)
+    await instances[version % 3].control.store.put(toDocument(version, `v${version}`), 5000)
+    t.is(toText(await instances[(version + 1) % 3].control.store.read(5000)), `v${version}`)
   }
-  await stopAll(nodes)
+  await stopAll(instances)
 })
 
-// All control instances are killed at once. Entry instances that ask the first one that is back must get the document and the
-// endpoints from it, before there is a leader again.
-test('restarted instances know the document and the records at once', async t => {
-  const nodes = await startFleet(3)
-  await until('all are current', () => nodes.every(item => item.node.store.isCurrent()))
-  await nodes[0].node.store.put(toDocument(7, 'seven'), 5000)
+// Entry instances depend on the first control instance that restarts, before there is a leader.
+test('a restarted instance has the document and the records without a quorum', async t => {
+  const instances = await startFleet(3)
+  await until('all are current', () => instances.every(item => item.control.store.isCurrent()))
+  await instances[0].control.store.put(toDocument(7, 'seven'), 5000)
   const record: discovery.EndpointRecord = { kind: 'endpoint', id: 'e1', startedAt: 1, seq: 1, zone: 'z', state: 'ready', service: 's', address: '10.0.0.1:80', slots: 8, coldMs: 0 }
-  await nodes[0].node.announce(record)
-  await until('all have it', () => nodes.every(item => item.node.store.latest()?.version === 7 && item.node.table.get('e1') !== undefined))
+  await instances[0].control.announce(record)
+  await until('all have both', () => instances.every(item => item.control.store.latest()?.version === 7 && item.control.table.get('e1') !== undefined))
   await timers.setTimeout(200)
-  await stopAll(nodes, false)
-  const founders = nodes.map(item => item.inner)
-  const alone = await start(nodes[1].inner, founders, nodes[1].folder, false)
-  t.is(toText(alone.node.store.latest()), 'seven')
-  t.is(alone.node.table.get('e1')?.record.state, 'ready')
-  t.false(alone.node.store.isCurrent())
-  await t.throwsAsync(alone.node.store.read(300), undefined, 'a read needs a quorum')
+  await stopAll(instances, false)
+  const founders = instances.map(item => item.inner)
+  const alone = await start(instances[1].inner, founders, instances[1].folder, false)
+  t.is(toText(alone.control.store.latest()), 'seven')
+  t.is(alone.control.table.get('e1')?.record.state, 'ready')
+  t.false(alone.control.store.isCurrent())
+  await t.throwsAsync(alone.control.store.read(300), undefined, 'a read needs a quorum')
   await stopAll([alone], false)
-  for (const item of nodes) await fs.rm(item.folder, { recursive: true, force: true })
+  for (const item of instances) await fs.rm(item.folder, { recursive: true, force: true })
 })
 
-// An endpoint is told that it may leave by one instance; the others must know it then.
-test('a change is known to all control instances when it is acknowledged', async t => {
-  const nodes = await startFleet(3)
-  await until('all are current', () => nodes.every(item => item.node.store.isCurrent()))
+// An endpoint may stop after one instance acknowledged "leaving".
+test('an acknowledged change is known to all control instances', async t => {
+  const instances = await startFleet(3)
+  await until('all are current', () => instances.every(item => item.control.store.isCurrent()))
   const record: discovery.EndpointRecord = { kind: 'endpoint', id: 'e1', startedAt: 1, seq: 1, zone: 'z', state: 'ready', service: 's', address: '10.0.0.1:80', slots: 8, coldMs: 0 }
-  await nodes[0].node.announce(record)
-  await nodes[2].node.announce({ ...record, seq: 2, state: 'leaving' })
-  for (const item of nodes) t.is(item.node.table.get('e1')?.record.state, 'leaving')
-  await stopAll(nodes)
+  await instances[0].control.announce(record)
+  await instances[2].control.announce({ ...record, seq: 2, state: 'leaving' })
+  for (const item of instances) t.is(item.control.table.get('e1')?.record.state, 'leaving')
+  await stopAll(instances)
 })
--- a/packages/coordination/__tests__/documentStore.test.ts
+++ b/packages/coordination/__tests__/documentStore.test.ts
@@ -1,4 +1,4 @@
-/** The stores of a group in one process, whose links the test cuts. */
+/** Document stores of one group in one process, with links that the test can cut. */
 import * as ava from 'ava'
 import * as fs from 'node:fs/promises'
 import * as os from 'node:os'
@@ -16,8 +16,8 @@
 interface TestGroup {
   stores: Map<string, coordination.DocumentStore>
   folderOf: (name: string) => string
-  /** Cuts a store off from all others, both ways. */
-  cut: (name: string) => void
+  /** Partitions a store from all others, in both directions. */
+  partition: (name: string) => void
   leader: () => Promise<string>
   close: () => Promise<void>
 }
@@ -25,12 +25,12 @@
 async function startGroup (names: string[]): Promise<TestGroup> {
   const base = await fs.mkdtemp(path.join(os.tmpdir(), 'kcd-'))
   const stores = new Map<string, coordination.DocumentStore>()
-  const cut = new Set<string>()
+  const partitioned = new Set<string>()
   const folderOf = (name: string): string => path.join(base, name)
-  const reach = (from: string) => async (to: string): Promise<links.Link> => {
+  const getPeerLink = (from: string) => async (to: string): Promise<links.Link> => {
     const call = async (body: unknown): Promise<unknown> => {
       const store = stores.get(to)
-      if (store === undefined || cut.has(from) || cut.has(to)) throw new Error(`${to} cannot be reached`)
+      if (store === undefined || partitioned.has(from) || partitioned.has(to)) throw new Error(`${to} is unreachable`)
       return await store.onCall(coordination.documentCall.parse(body))
     }
     return { call } as unknown as links.Link
@@ -44,7 +44,7 @@
       contacts: () => names,
       maxFailedDisks: 1,
       dataFolder: folderOf(name),
-      getPeerLink: reach(name),
+      getPeerLink: getPeerLink(name),
       onChange: () => {},
       log,
       invariants: telemetry.createInvariants({ log, isFatal: true })
@@ -53,15 +53,15 @@
   return {
     stores,
     folderOf,
-    cut: name => { cut.add(name) },
+    partition: name => { partitioned.add(name) },
     async leader () {
-      const end = performance.now() + WAIT_MS
-      while (performance.now() < end) {
-        const led = names.find(name => !cut.has(name) && stores.get(name)?.isLeader() === true && stores.get(name)?.isCurrent() === true)
-        if (led !== undefined) return led
+      const deadline = performance.now() + WAIT_MS
+      while (performance.now() < deadline) {
+        const leader = names.find(name => !partitioned.has(name) && stores.get(name)?.isLeader() === true && stores.get(name)?.isCurrent() === true)
+        if (leader !== undefined) return leader
         await timers.setTimeout(20)
       }
-      throw new Error('waited in vain for a leader')
+      throw new Error(`no leader within ${WAIT_MS} ms`)
     },
     async close () {
       await Promise.all([...stores.values()].map(async store => { await store.stop() }))
@@ -81,44 +81,41 @@
 }
 
 async function putUntilStored (store: coordination.DocumentStore, document: contracts.VersionedText): Promise<void> {
-  const end = performance.now() + WAIT_MS
-  while (performance.now() < end) {
+  const deadline = performance.now() + WAIT_MS
+  while (performance.now() < deadline) {
     const result = await store.put(document, 2000).catch(() => undefined)
     if (result?.kind === 'stored' || result?.kind === 'held') return
   }
-  throw new Error('waited in vain for a document to be stored')
+  throw new Error(`document not stored within ${WAIT_MS} ms`)
 }
 
-// A leader that froze thaws behind a partition and still believes that it leads. Others may have accepted a newer document
-// meanwhile, so an operator who reads there must not be told the old one: with no quorum to ask there is no answer.
-test('a leader that is cut off answers no read', async t => {
+// A partitioned leader may have been replaced, and a newer document stored: a read without a quorum could be stale.
+test('a partitioned leader rejects reads', async t => {
   const group = await startGroup(['a', 'b', 'c'])
   const leader = await group.leader()
   await putUntilStored(get(group, leader), toDocument(1))
   t.is((await get(group, leader).read(2000))?.version, 1)
-  group.cut(leader)
-  t.true(get(group, leader).isLeader(), 'it still believes that it leads')
+  group.partition(leader)
+  t.true(get(group, leader).isLeader(), 'it has not noticed the partition')
   await t.throwsAsync(get(group, leader).read(400))
   await group.close()
 })
 
-// An operator's acknowledgement is lost, and the same document is sent again while the control instances have no leader. It
-// is held already: there is nothing to decide, and refusing it would leave the operator in doubt.
-test('a document that is held is acknowledged again without a quorum', async t => {
+// An operator repeats a put whose acknowledgement was lost while there is no leader.
+test('a repeated or older put is answered without a quorum', async t => {
   const group = await startGroup(['a', 'b', 'c'])
   const leader = await group.leader()
   await putUntilStored(get(group, leader), toDocument(5))
-  group.cut(leader)
+  group.partition(leader)
   t.is((await get(group, leader).put(toDocument(5), 300)).kind, 'held')
   t.is((await get(group, leader).put(toDocument(4), 300)).kind, 'behind')
   t.is((await get(group, leader).put(toDocument(5, 4), 300)).kind, 'conflict')
-  await t.throwsAsync(get(group, leader).put(toDocument(6), 300), undefined, 'a newer one needs a quorum')
+  await t.throwsAsync(get(group, leader).put(toDocument(6), 300), undefined, 'a newer document needs a quorum')
   await group.close()
 })
 
-// Two operators race: versions arrive out of order at several instances at once. The leader proposes each as the difference
-// from the one before, which did not always come to be held.
-test('documents that race at all instances end at the highest version, whole', async t => {
+// Concurrent puts arrive out of order, so the base of a delta that the leader proposes is not always stored.
+test('concurrent puts at all instances converge to the highest version', async t => {
   const group = await startGroup(['a', 'b', 'c'])
   await group.leader()
   const versions = [3, 1, 9, 4, 12, 7, 2, 15, 11, 14, 5, 16]
@@ -131,19 +128,18 @@
   await group.close()
 })
 
-// The disk of a control instance takes no writes for some seconds. Its replica cannot go on, but it must come back by itself:
-// when the leader is lost afterwards, its vote is needed.
-test('a replica whose disk failed is there again when the disk is', async t => {
+// After a temporary disk failure a replica must restart by itself: its vote may be needed for the next election.
+test('a replica restarts after a temporary disk failure', async t => {
   const group = await startGroup(['a', 'b', 'c'])
   const leader = await group.leader()
   await putUntilStored(get(group, leader), toDocument(1))
   const others = ['a', 'b', 'c'].filter(name => name !== leader)
-  // A folder where the file is to be written: each write of a term or a vote fails.
+  // A folder in place of the temporary file makes each write of a term or a vote fail.
   const blocked = others.map(name => path.join(group.folderOf(name), 'document', 'meta.new'))
   for (const folder of blocked) await fs.mkdir(folder)
-  group.cut(leader)
+  group.partition(leader)
   await timers.setTimeout(2500)
-  t.false(others.some(name => get(group, name).isLeader()), 'nobody leads without a disk')
+  t.false(others.some(name => get(group, name).isLeader()), 'no leader without working disks')
   for (const folder of blocked) await fs.rmdir(folder)
   const next = await group.leader()
   t.not(next, leader)
--- a/packages/coordination/__tests__/handoutFile.test.ts
+++ b/packages/coordination/__tests__/handoutFile.test.ts
@@ -1,4 +1,4 @@
-/** The file of what a control instance hands out first after a restart. */
+/** The handout file of a control instance. */
 import * as fs from 'node:fs'
 import * as os from 'node:os'
 import * as path from 'node:path'
@@ -17,7 +17,7 @@
 }
 
 async function readVersion (folder: string, atLeast: number): Promise<number> {
-  for (const until = performance.now() + WAIT_MS; performance.now() < until;) {
+  for (const deadline = performance.now() + WAIT_MS; performance.now() < deadline;) {
     const body = discovery.readHandout(folder)
     const version = body === undefined ? 0 : discovery.decodeReply(body).version
     if (version >= atLeast) return version
@@ -32,23 +32,23 @@
   return folder
 }
 
-test('the file holds the latest of changes that follow each other', async t => {
+test('consecutive changes are written together, the latest one last', async t => {
   const folder = makeFolder(t)
   let version = 0
-  let packs = 0
+  let packCount = 0
   const file = handoutFiles.createHandoutFile(folder, () => {
-    packs++
+    packCount++
     return toReply(version)
   }, telemetry.createLog({ instance: 'test', level: 'silent' }))
   for (version = 1; version < 30; version++) file.save()
   version = 29
   t.is(await readVersion(folder, 29), 29)
   await file.close()
-  t.true(packs <= 2, 'and they are written together')
+  t.true(packCount <= 2, 'changes are written together')
 })
 
-// The disk takes no more. An error that nobody caught would be an end of the process.
-test('a disk that takes no more is told in the log', async t => {
+// An uncaught error of a failed write would end the process.
+test('a failed write is logged', async t => {
   const lines: string[] = []
   const file = handoutFiles.createHandoutFile(path.join(makeFolder(t), 'gone'), () => toReply(1), telemetry.createLog({ instance: 'test', json: true, write: line => { lines.push(line) } }))
   file.save()
--- a/packages/coordination/__tests__/recordFile.test.ts
+++ b/packages/coordination/__tests__/recordFile.test.ts
@@ -1,4 +1,4 @@
-/** The file of records through power losses and stops. */
+/** The file of records after power losses and stops. */
 import * as ava from 'ava'
 import * as fs from 'node:fs/promises'
 import * as os from 'node:os'
@@ -11,9 +11,8 @@
 const log = telemetry.createLog({ instance: 'test', level: 'silent' })
 const records: discovery.Record[] = [{ kind: 'endpoint', id: 'e1', startedAt: 1, seq: 1, zone: 'z', state: 'ready', service: 's', address: '10.0.0.1:80', slots: 8, coldMs: 0 }]
 
-// A loss of power leaves some of the last writes and not others. An address out of a torn file could send requests to a
-// process of another service.
-test('a damaged file is left out', async t => {
+// A wrong address from a partially written file could send requests to a process of another service.
+test('a damaged file is ignored', async t => {
   const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'kcd-'))
   const file = recordFiles.createRecordFile(folder, () => records, log)
   file.save()
@@ -25,7 +24,7 @@
   await fs.rm(folder, { recursive: true })
 })
 
-// A stopped instance went on to write while the next one on its disk had begun.
+// A stopped instance must not write while its successor uses the same disk.
 test('nothing is written after the stop', async t => {
   const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'kcd-'))
   const file = recordFiles.createRecordFile(folder, () => records, log)
--- a/packages/discovery/__tests__/handout.test.ts
+++ b/packages/discovery/__tests__/handout.test.ts
@@ -1,4 +1,4 @@
-/** What control instances hand out before they have started. */
+/** Handouts that control instances serve while they start. */
 import * as crypto from 'node:crypto'
 import * as fs from 'node:fs'
 import * as net from 'node:net'
@@ -12,8 +12,8 @@
 const test = ava.default
 const SECRET = 'test-secret-of-16'
 
-/** @returns an inner address whose handout port, the one beside it, is free */
-async function findInner (): Promise<string> {
+/** Returns an inner address whose handout port is free. */
+async function findInnerAddress (): Promise<string> {
   const server = net.createServer()
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
   const { port } = server.address() as net.AddressInfo
@@ -21,9 +21,9 @@
   return `127.0.0.1:${port - 1}`
 }
 
-async function serve (t: ava.ExecutionContext, inner: string, body: Buffer, mostBytes = Infinity): Promise<discovery.HandoutServer> {
+async function serve (t: ava.ExecutionContext, inner: string, body: Buffer, maxTotalBytes = Infinity): Promise<discovery.HandoutServer> {
   return await new Promise((resolve, reject) => {
-    const server = discovery.startHandoutServer({ address: discovery.toHandoutAddress(inner), secret: SECRET, body, maxTotalBytes: mostBytes }, () => { resolve(server) }, reject)
+    const server = discovery.startHandoutServer({ address: discovery.toHandoutAddress(inner), secret: SECRET, body, maxTotalBytes }, () => { resolve(server) }, reject)
     t.teardown(() => { server.close() })
   })
 }
@@ -34,44 +34,42 @@
   return { records: discovery.packRecords([record]), controls: ['127.0.0.1:1'], version, document }
 }
 
-test('what is handed out arrives whole, and only at who proves the secret', async t => {
-  const inner = await findInner()
+test('a handout is sent completely, and only to clients that prove the secret', async t => {
+  const inner = await findInnerAddress()
   const body = crypto.randomBytes(300_000)
   const server = await serve(t, inner, body)
   t.true((await discovery.fetchHandout(discovery.toHandoutAddress(inner), SECRET)).equals(body))
   await t.throwsAsync(discovery.fetchHandout(discovery.toHandoutAddress(inner), 'another-secret-of'))
-  await helper.until('nobody is served', () => !server.activity().isBusy)
+  await helper.until('all connections are closed', () => !server.activity().isBusy)
 })
 
-// A large fleet loses its power. Were all instances handed a large document, a link of a few Mbit/s would be full of them for
-// seconds, in which the control instances could not even find each other.
-test('no more is handed out than the link takes meanwhile', async t => {
-  const inner = await findInner()
+// Serving a large document to all instances of a fleet would saturate a slow link while control instances need it to connect.
+test('the total bytes of handouts are limited', async t => {
+  const inner = await findInnerAddress()
   await serve(t, inner, crypto.randomBytes(1000), 3500)
-  const asked = Array.from({ length: 8 }, async () => await discovery.fetchHandout(discovery.toHandoutAddress(inner), SECRET))
-  const ends = await Promise.allSettled(asked)
-  t.is(ends.filter(item => item.status === 'fulfilled').length, 3)
+  const fetches = Array.from({ length: 8 }, async () => await discovery.fetchHandout(discovery.toHandoutAddress(inner), SECRET))
+  const results = await Promise.allSettled(fetches)
+  t.is(results.filter(item => item.status === 'fulfilled').length, 3)
 })
 
-// A stranger listens at the address of an instance that is down. An entry instance that took its document would send requests
-// wherever the stranger likes.
-test('what a stranger hands out is not taken', async t => {
-  const stranger = net.createServer(socket => {
+// An unauthenticated server at the address of a control instance that is down must not be able to redirect requests.
+test('a handout without a proof of the secret is rejected', async t => {
+  const impostor = net.createServer(socket => {
     socket.write(crypto.randomBytes(16))
     socket.on('data', () => { socket.end(Buffer.concat([crypto.randomBytes(32), Buffer.from('document')])) })
     socket.on('error', () => {})
   })
-  await new Promise<void>(resolve => { stranger.listen(0, '127.0.0.1', resolve) })
-  t.teardown(() => { stranger.close() })
-  const { port } = stranger.address() as net.AddressInfo
+  await new Promise<void>(resolve => { impostor.listen(0, '127.0.0.1', resolve) })
+  t.teardown(() => { impostor.close() })
+  const { port } = impostor.address() as net.AddressInfo
   await t.throwsAsync(discovery.fetchHandout({ host: '127.0.0.1', port }, SECRET), { message: /proof/ })
 })
 
-test('a file that a loss of power has spoilt is not handed out', t => {
+test('a damaged handout file is ignored', t => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'handout-'))
   t.teardown(() => { fs.rmSync(folder, { recursive: true }) })
   t.is(discovery.readHandout(folder), undefined)
-  const body = Buffer.from('what is handed out')
+  const body = Buffer.from('handout body')
   const packed = discovery.packHandout(body)
   fs.writeFileSync(path.join(folder, discovery.HANDOUT_FILE), packed)
   t.true(discovery.readHandout(folder)?.equals(body))
@@ -79,10 +77,9 @@
   t.is(discovery.readHandout(folder), undefined)
 })
 
-// All processes are killed. Entry instances are back a second before a control instance is, and all requests of that second
-// found no document, although it lay on five disks.
-test('an entry instance has the document while control instances still start, and the newer one after that', async t => {
-  const inner = await findInner()
+// After a restart of the fleet, entry instances are ready before control instances and have no document until then.
+test('an entry instance uses the handout while control instances start, then the newer document', async t => {
+  const inner = await findInnerAddress()
   await serve(t, inner, Buffer.from(discovery.encodeReply(toReply(4))))
   const control = await helper.startControl({ isTicking: true })
   const seeds = [inner]
@@ -91,33 +88,32 @@
     entry.stop()
     await control.close()
   })
-  await helper.until('it has the document', () => entry.documents.length === 1)
+  await helper.until('the entry instance has the document', () => entry.documents.length === 1)
   t.is(entry.documents[0].version, 4)
   control.put(contracts.toVersionedText(5, Buffer.from('{"version":5}')))
   seeds.push(control.address)
-  await helper.until('it has the newer one', () => entry.documents.at(-1)?.version === 5)
+  await helper.until('the entry instance has the newer document', () => entry.documents.at(-1)?.version === 5)
   t.deepEqual(entry.documents.map(item => item.version), [4, 5])
 })
 
-// One of the control instances was down for a while and hands out what it held before. An instance that has a newer document
-// must not go back to that one.
-test('an older document that is handed out is not taken', async t => {
-  const inner = await findInner()
+// The handout of a control instance that was down for a while is older than the current document.
+test('an older document in a handout is ignored', async t => {
+  const inner = await findInnerAddress()
   await serve(t, inner, Buffer.from(discovery.encodeReply(toReply(4))))
   const control = await helper.startControl({ isTicking: true })
   control.put(contracts.toVersionedText(5, Buffer.from('{"version":5}')))
   let release: () => void = () => {}
-  const held = new Promise<void>(resolve => { release = resolve })
+  const released = new Promise<void>(resolve => { release = resolve })
   const entry = helper.startEntry('i1', [control.address], undefined, async () => {
-    await held
+    await released
     return await discovery.fetchHandout(discovery.toHandoutAddress(inner), SECRET)
   })
   t.teardown(async () => {
     entry.stop()
     await control.close()
   })
-  await helper.until('it has the document', () => entry.documents.length === 1)
+  await helper.until('the entry instance has the document', () => entry.documents.length === 1)
   release()
-  await helper.until('it listens', () => entry.quorumSince() > 0)
+  await helper.until('the entry instance is subscribed', () => entry.quorumSince() > 0)
   t.deepEqual(entry.documents.map(item => item.version), [5])
 })
--- a/packages/discovery/__tests__/helpers/testControl.ts
+++ b/packages/discovery/__tests__/helpers/testControl.ts
@@ -1,4 +1,4 @@
-/** Control and entry instances of discovery alone, over loopback. */
+/** Control and entry instances with discovery only, over loopback. */
 import * as timers from 'node:timers/promises'
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
@@ -12,89 +12,89 @@
 /** A control instance under test. */
 export interface TestControl {
   address: string
-  /** Bytes that it sent. */
+  /** Returns the bytes sent. */
   sentBytes: () => number
-  /** Times that the document was asked for. */
+  /** Returns the number of fetch calls received. */
   fetchCount: () => number
-  /** Times that somebody subscribed. */
+  /** Returns the number of subscribe calls received. */
   subscribeCount: () => number
-  /** Links of entry instances that are open. */
+  /** Returns the number of open links. */
   openLinkCount: () => number
   put: (document: contracts.VersionedText) => void
   tick: () => void
   close: () => Promise<void>
 }
 
-/** How a control instance under test behaves. */
+/** Behaviour of a control instance under test. */
 export interface ControlOptions {
-  /** Never answers when its document is asked for. */
+  /** Never answers fetch calls. */
   isUnresponsiveToFetch?: boolean
-  /** Announces new documents; by default it does. */
+  /** Announces new documents; true by default. */
   isAnnouncing?: boolean
-  /** Says that it heard from a quorum; by default it does. */
+  /** Reports contact with a quorum; true by default. */
   isCurrent?: boolean
-  /** Ticks by itself, four times as often as it should. */
+  /** Ticks periodically, at four times the normal rate. */
   isTicking?: boolean
   /** Addresses of the other control instances. */
   peerAddresses?: string[]
-  /** The version it says it holds, whatever it holds. */
+  /** Version to report, regardless of the document. */
   reportedVersion?: number
-  /** What its link carries, bytes a millisecond; by default all that is asked for. */
+  /** Capacity of its link, bytes per millisecond; unlimited by default. */
   bytesPerMs?: number
 }
 
-/** Starts a control instance that hands out differences from the version before, and the whole to everyone else. */
+/** Starts a control instance that sends deltas from all versions that were put, and full documents otherwise. */
 export async function startControl (opts: ControlOptions = {}): Promise<TestControl> {
-  const texts: contracts.VersionedText[] = []
+  const versions: contracts.VersionedText[] = []
   const open: links.Link[] = []
-  let bytes = 0
-  let fetches = 0
-  let subscriptions = 0
-  let listening: links.LinkServer | undefined
-  const port = (): number => listening?.port ?? 0
-  const since = (version: number): contracts.PackedText | null => {
-    const latest = texts.at(-1)
+  let sentBytes = 0
+  let fetchCount = 0
+  let subscribeCount = 0
+  let startedServer: links.LinkServer | undefined
+  const port = (): number => startedServer?.port ?? 0
+  const packSince = (version: number): contracts.PackedText | null => {
+    const latest = versions.at(-1)
     if (latest === undefined || (latest.version <= version && opts.reportedVersion === undefined)) return null
-    const from = texts.find(item => item.version === version)
-    return from === undefined ? contracts.packFull(latest) : contracts.packDelta(from, latest)
+    const base = versions.find(item => item.version === version)
+    return base === undefined ? contracts.packFull(latest) : contracts.packDelta(base, latest)
   }
   const publisher = discovery.createPublisher({
     get self () { return `127.0.0.1:${port()}` },
     table: discovery.createRecordTable(),
     peerAddresses: () => opts.peerAddresses ?? [],
-    getPeerLink: async () => { throw new Error('there are no others') },
-    version: () => opts.reportedVersion ?? texts.at(-1)?.version ?? 0,
-    packDocumentSince: since,
+    getPeerLink: async () => { throw new Error('there are no other control instances') },
+    version: () => opts.reportedVersion ?? versions.at(-1)?.version ?? 0,
+    packDocumentSince: packSince,
     budget: discovery.createSendBudget(opts.bytesPerMs ?? Infinity),
     isCurrent: () => opts.isCurrent !== false,
     log
   })
-  const ticking = opts.isTicking === true ? setInterval(() => { publisher.tick() }, discovery.TICK_INTERVAL_MS / 4) : undefined
+  const timer = opts.isTicking === true ? setInterval(() => { publisher.tick() }, discovery.TICK_INTERVAL_MS / 4) : undefined
   const handlers: links.LinkHandlers = {
     onEvent (body) { publisher.onEvent(discovery.discoveryEvent.parse(body)) },
     async onCall (body, link) {
       const call = discovery.discoveryCall.parse(body)
-      if (call.t === 'fetch') fetches++
-      if (call.t === 'subscribe') subscriptions++
+      if (call.t === 'fetch') fetchCount++
+      if (call.t === 'subscribe') subscribeCount++
       if (call.t === 'fetch' && opts.isUnresponsiveToFetch === true) return await new Promise(() => {})
       return await publisher.onCall(call, link)
     }
   }
-  const cfg: links.LinkSettings = { identity: { role: 'control', id: 'control' }, secret: SECRET, log, handlers, countBytes: (direction, size) => { if (direction === 'out') bytes += size } }
-  const server = listening = await links.listen('127.0.0.1:0', cfg, link => { open.push(link) })
+  const cfg: links.LinkSettings = { identity: { role: 'control', id: 'control' }, secret: SECRET, log, handlers, countBytes: (direction, size) => { if (direction === 'out') sentBytes += size } }
+  const server = startedServer = await links.listen('127.0.0.1:0', cfg, link => { open.push(link) })
   return {
     address: `127.0.0.1:${server.port}`,
-    sentBytes: () => bytes,
-    fetchCount: () => fetches,
-    subscribeCount: () => subscriptions,
+    sentBytes: () => sentBytes,
+    fetchCount: () => fetchCount,
+    subscribeCount: () => subscribeCount,
     openLinkCount: () => open.filter(link => link.isOpen()).length,
     put (document) {
-      texts.push(document)
+      versions.push(document)
       if (opts.isAnnouncing !== false) publisher.publishDocument()
     },
     tick: publisher.tick,
     async close () {
-      clearInterval(ticking)
+      clearInterval(timer)
       for (const link of open) link.close()
       await server.close()
     }
@@ -104,12 +104,12 @@
 /** An entry instance under test. */
 export interface TestEntry { documents: contracts.VersionedText[], seeds: string[], subscriptionCount: () => number, quorumSince: () => number, stop: () => void }
 
-/** Starts an entry instance that subscribes; with a clock that stands still no control instance falls silent. */
-export function startEntry (id: string, seeds: string[], now?: () => number, handout?: (address: string) => Promise<Uint8Array>): TestEntry {
+/** Starts an entry instance that subscribes. With a constant clock, no control instance becomes unresponsive. */
+export function startEntry (id: string, seeds: string[], now?: () => number, fetchHandout?: (address: string) => Promise<Uint8Array>): TestEntry {
   const documents: contracts.VersionedText[] = []
   const handlers: links.LinkHandlers = {
     onEvent (body, link) { subscriber.onEvent(discovery.discoveryEvent.parse(body), link) },
-    async onCall () { throw new Error('no calls') }
+    async onCall () { throw new Error('unexpected call to an entry instance') }
   }
   const subscriber = discovery.startSubscriber({
     seeds: () => seeds,
@@ -120,16 +120,16 @@
     onRecords: () => {},
     log,
     now,
-    fetchHandout: handout
+    fetchHandout
   })
   return { documents, seeds, subscriptionCount: subscriber.subscriptionCount, quorumSince: subscriber.quorumSince, stop: subscriber.stop }
 }
 
-/** Waits until something holds. */
-export async function until (what: string, holds: () => boolean): Promise<void> {
-  const end = performance.now() + WAIT_MS
-  while (!holds()) {
-    if (performance.now() > end) throw new Error(`waited in vain until ${what}`)
+/** Waits until a condition holds. */
+export async function until (description: string, isTrue: () => boolean): Promise<void> {
+  const deadline = performance.now() + WAIT_MS
+  while (!isTrue()) {
+    if (performance.now() > deadline) throw new Error(`timed out after ${WAIT_MS} ms waiting until ${description}`)
     await timers.setTimeout(10)
   }
 }
--- a/packages/discovery/__tests__/subscriptions.test.ts
+++ b/packages/discovery/__tests__/subscriptions.test.ts
@@ -1,4 +1,4 @@
-/** Which control instances an entry instance listens to, and how control instances make up for news that was lost. */
+/** Choice of control instances by entry instances, and recovery of changes that were lost between control instances. */
 import * as ava from 'ava'
 import * as timers from 'node:timers/promises'
 import type * as links from '@kingcupdeck/links'
@@ -13,7 +13,7 @@
   return { kind: 'endpoint', id: 'e1', startedAt: 1, seq: 1, zone: 'z', state: 'ready', service: 's', address: '10.0.0.1:80', slots: 8, coldMs: 0, ...change }
 }
 
-/** Two publishers whose calls to each other pass while `isUp`. */
+/** Creates two publishers that can reach each other while `isUp`. */
 function startPair (): { one: discovery.Publisher, two: discovery.Publisher, tableOf: { one: discovery.RecordTable, two: discovery.RecordTable }, state: { isUp: boolean } } {
   const state = { isUp: true }
   const tableOf = { one: discovery.createRecordTable(), two: discovery.createRecordTable() }
@@ -39,16 +39,15 @@
   return { one, two, tableOf, state }
 }
 
-// An endpoint says that it leaves while two control instances cannot reach each other. The instances that listen to the other
-// one would send it work for as long as it lives.
-test('a change that another control instance missed is told with the next ticks', async t => {
+// Entry instances subscribed to the partitioned control instance would go on sending work to an endpoint that is leaving.
+test('a change that another control instance missed is sent again at the next ticks', async t => {
   const { one, two, tableOf, state } = startPair()
   await one.announce(toRecord())
   t.is(tableOf.two.get('e1')?.record.state, 'ready')
   state.isUp = false
   await one.announce(toRecord({ seq: 2, state: 'leaving' }))
   t.is(tableOf.two.get('e1')?.record.state, 'ready')
-  // The second tick compares tables as well; the third only tells what was not confirmed.
+  // Only the second tick compares tables; the third sends unacknowledged changes.
   one.tick()
   one.tick()
   await timers.setTimeout(20)
@@ -59,8 +58,8 @@
   two.tick()
 })
 
-// A control instance starts empty beside another one that knows the endpoints; nothing changes, so nothing is told.
-test('tables are compared, so that a restarted control instance learns what it missed', async t => {
+// Without changes nothing is published, so a control instance that restarts empty depends on the comparison of tables.
+test('a restarted control instance recovers records by comparing tables', async t => {
   const { one, two, tableOf, state } = startPair()
   state.isUp = false
   await two.announce(toRecord())
@@ -71,46 +70,43 @@
   t.is(tableOf.one.get('e1')?.record.state, 'ready')
 })
 
-// A control instance freezes with its links open. An instance that goes on listening to it alone hears of no endpoint that
-// leaves and of no document.
-test('a control instance that falls silent is left for another', async t => {
-  const silent = await helper.startControl()
-  const entry = helper.startEntry('i1', [silent.address])
-  await helper.until('it listens', () => silent.openLinkCount() === 1)
-  await helper.until('it has left', () => silent.openLinkCount() === 0)
-  const sound = await helper.startControl({ isTicking: true })
-  entry.seeds.splice(0, 1, sound.address)
-  await helper.until('it listens to the other', () => sound.openLinkCount() === 1)
+// A frozen control instance with open links sends no changes and no documents.
+test('an unresponsive control instance is replaced', async t => {
+  const unresponsive = await helper.startControl()
+  const entry = helper.startEntry('i1', [unresponsive.address])
+  await helper.until('the entry instance is subscribed', () => unresponsive.openLinkCount() === 1)
+  await helper.until('the subscription is closed', () => unresponsive.openLinkCount() === 0)
+  const healthy = await helper.startControl({ isTicking: true })
+  entry.seeds.splice(0, 1, healthy.address)
+  await helper.until('the entry instance is subscribed to the other', () => healthy.openLinkCount() === 1)
   await timers.setTimeout(3000)
-  t.is(sound.openLinkCount(), 1)
+  t.is(healthy.openLinkCount(), 1)
   entry.stop()
-  await Promise.all([silent.close(), sound.close()])
+  await Promise.all([unresponsive.close(), healthy.close()])
 })
 
-// Three control instances are on the small side of a partition. An instance that listens to just these has all links up and
-// hears nothing new.
-test('a control instance without a quorum is exchanged for one with', async t => {
-  const cut = await Promise.all([0, 1, 2].map(async () => await helper.startControl({ isTicking: true, isCurrent: false })))
-  const entry = helper.startEntry('i1', cut.map(item => item.address))
-  await helper.until('it listens to three', () => entry.subscriptionCount() === 3)
-  const sound = await helper.startControl({ isTicking: true })
-  entry.seeds.push(sound.address)
-  await helper.until('it listens to the one with a quorum', () => sound.openLinkCount() === 1)
-  t.true(cut.filter(item => item.openLinkCount() > 0).length < 3)
+// Control instances in the minority of a partition keep their links open but receive no changes.
+test('a control instance without a quorum is replaced by one with a quorum', async t => {
+  const partitioned = await Promise.all([0, 1, 2].map(async () => await helper.startControl({ isTicking: true, isCurrent: false })))
+  const entry = helper.startEntry('i1', partitioned.map(item => item.address))
+  await helper.until('there are three subscriptions', () => entry.subscriptionCount() === 3)
+  const healthy = await helper.startControl({ isTicking: true })
+  entry.seeds.push(healthy.address)
+  await helper.until('the one with a quorum is subscribed', () => healthy.openLinkCount() === 1)
+  t.true(partitioned.filter(item => item.openLinkCount() > 0).length < 3)
   entry.stop()
-  await Promise.all([...cut, sound].map(async item => { await item.close() }))
+  await Promise.all([...partitioned, healthy].map(async item => { await item.close() }))
 })
 
-// All 65 entry instances come back within a second after a loss of power and announce themselves to a control instance with 22
-// subscribers, which has a seventh of a processor. Told one by one these are 1,430 events, and callers are refused meanwhile.
-test('instances that come back together are told of together', async t => {
-  let events = 0
-  const link = { sendEncoded: () => { events++ }, closed: new Promise(() => {}) } as unknown as links.Link
+// After a restart of the fleet, one event per announcement and subscriber would overload a control instance.
+test('announcements in quick succession are published in one event', async t => {
+  let eventCount = 0
+  const link = { sendEncoded: () => { eventCount++ }, closed: new Promise(() => {}) } as unknown as links.Link
   const publisher = discovery.createPublisher({
     self: 'c',
     table: discovery.createRecordTable(),
     peerAddresses: () => [],
-    getPeerLink: async () => { throw new Error('there are no others') },
+    getPeerLink: async () => { throw new Error('there are no other control instances') },
     version: () => 0,
     packDocumentSince: () => null,
     isCurrent: () => true,
@@ -119,38 +115,38 @@
   const toEntry = (i: number): discovery.EntryRecord => ({ kind: 'entry', id: `i${i}`, startedAt: 1, seq: 1, zone: 'z', region: 'r', front: `10.0.0.${i}:1`, inner: `10.0.0.${i}:2`, state: 'starting' })
   for (let i = 0; i < 22; i++) await publisher.onCall({ t: 'subscribe', self: toEntry(i), version: 0 }, { ...link })
   await timers.setTimeout(100)
-  events = 0
+  eventCount = 0
   for (let i = 22; i < 87; i++) publisher.onEvent({ t: 'news', list: [toEntry(i)] })
   await timers.setTimeout(100)
-  t.is(events, 22)
-  // One that leaves is told of at once: callers are to be sent elsewhere before it stops.
+  t.is(eventCount, 22)
+  // "leaving" is published without delay: callers must use another instance before this one stops.
   publisher.onEvent({ t: 'news', list: [{ ...toEntry(30), seq: 2, state: 'leaving' }] })
-  t.is(events, 44)
+  t.is(eventCount, 44)
 })
 
-test('news that was interrupted counts from when it is back', async t => {
+test('quorumSince restarts after an interruption', async t => {
   const control = await helper.startControl()
   const entry = helper.startEntry('i1', [control.address])
-  await helper.until('it listens', () => control.openLinkCount() === 1)
+  await helper.until('the entry instance is subscribed', () => control.openLinkCount() === 1)
   control.tick()
-  await helper.until('there is news', () => entry.quorumSince() > 0)
+  await helper.until('there was a tick', () => entry.quorumSince() > 0)
   const since = entry.quorumSince()
   await timers.setTimeout(300)
   control.tick()
   await timers.setTimeout(100)
-  t.is(entry.quorumSince(), since, 'a tick later nothing was interrupted')
-  await helper.until('the silent one was left and asked again', () => control.openLinkCount() === 0)
-  await helper.until('it listens again', () => control.openLinkCount() === 1)
+  t.is(entry.quorumSince(), since, 'unchanged at the next tick')
+  await helper.until('the subscription is closed', () => control.openLinkCount() === 0)
+  await helper.until('the entry instance is subscribed again', () => control.openLinkCount() === 1)
   await timers.setTimeout(500)
   control.tick()
-  await helper.until('there is news again', () => entry.quorumSince() > since)
+  await helper.until('there was a tick after the interruption', () => entry.quorumSince() > since)
   t.pass()
   entry.stop()
   await control.close()
 })
 
-// Guards against subscriptions that are exchanged one after the other, each with all records, where control instances are only busy.
-test('a control instance whose tick is late is not left', async t => {
+// Control instances that are only busy must not be replaced: each new subscription transfers all records.
+test('a control instance with a late tick is not replaced', async t => {
   const controls = await Promise.all([0, 1, 2, 3].map(async () => await helper.startControl()))
   let clock = 0
   const entry = helper.startEntry('i1', controls.map(item => item.address), () => clock)
@@ -158,7 +154,7 @@
     entry.stop()
     await Promise.all(controls.map(async item => { await item.close() }))
   })
-  await helper.until('it listens to three', () => controls.filter(item => item.openLinkCount() === 1).length === 3)
+  await helper.until('there are three subscriptions', () => controls.filter(item => item.openLinkCount() === 1).length === 3)
   for (const control of controls) control.tick()
   await timers.setTimeout(200)
   const before = controls.map(item => item.openLinkCount())
