--- a/packages/coordination/src/controlInstance.ts
+++ b/packages/coordination/src/controlInstance.ts
@@ -62,7 +62,7 @@
   }
   const linkCfg: links.LinkSettings = { identity: { role: 'control', id: opts.inner }, secret: opts.secret, log, handlers }
   const book = links.createPeerLinks(linkCfg)
-  const reach = links.createPeerDialer(book, { dialTimeoutMs: DIAL_TIMEOUT_MS, backoffMs: contracts.HEARTBEAT_INTERVAL_MS }).get
+  const getPeerLink = links.createPeerDialer(book, { dialTimeoutMs: DIAL_TIMEOUT_MS, backoffMs: contracts.HEARTBEAT_INTERVAL_MS }).get
 
   const store = await documentStores.startDocumentStore({
     self: opts.inner,
@@ -71,7 +71,7 @@
     contacts: opts.contacts,
     maxFailedDisks: opts.maxFailedDisks,
     dataFolder: opts.dataFolder,
-    getPeerLink: reach,
+    getPeerLink,
     onChange: () => { onDocumentChange() },
     log,
     invariants: opts.invariants
@@ -84,7 +84,7 @@
     self: opts.inner,
     table,
     peerAddresses: () => store.peerAddresses(),
-    getPeerLink: reach,
+    getPeerLink,
     version: () => store.latest()?.version ?? 0,
     packDocumentSince: store.packSince,
     budget: discovery.createSendBudget(opts.linkBytesPerMs ?? Infinity),
--- a/packages/discovery/__tests__/subscriptions.test.ts
+++ b/packages/discovery/__tests__/subscriptions.test.ts
@@ -22,7 +22,7 @@
     table: tableOf[self],
     peerAddresses: () => [other],
     async getPeerLink () {
-      if (!state.isUp) throw new Error('cut')
+      if (!state.isUp) throw new Error('unreachable')
       const publisher = other === 'one' ? one : two
       return {
         call: async (body: unknown) => await publisher.onCall(discovery.discoveryCall.parse(body), undefined as unknown as links.Link),
--- a/packages/discovery/src/documentHistory.ts
+++ b/packages/discovery/src/documentHistory.ts
@@ -7,7 +7,7 @@
    * Adds the new latest version.
    * @param packed its packed form, if it was received so; a delta is then reused for other readers
    */
-  add (held: contracts.VersionedText, packed?: contracts.PackedText): void
+  add (document: contracts.VersionedText, packed?: contracts.PackedText): void
   /**
    * Packs the latest version for a reader: as a delta if the reader's version is in the history, otherwise in full.
    * @param version the reader's version, 0 for none
@@ -26,11 +26,11 @@
   const packedByBase = new Map<number, contracts.PackedText>()
 
   return {
-    add (held, packed) {
+    add (document, packed) {
       packedByBase.clear()
       const base = packed === undefined || packed.base === '' ? undefined : versions.find(item => item.digest === packed.base)
       if (base !== undefined && packed !== undefined) packedByBase.set(base.version, packed)
-      versions.push(held)
+      versions.push(document)
       if (versions.length > MAX_VERSIONS) versions.shift()
     },
     packSince (version) {
--- a/packages/discovery/src/subscriber.ts
+++ b/packages/discovery/src/subscriber.ts
@@ -135,7 +135,7 @@
    * Returns a random control instance for the first document: the seeds are only some of the control instances, and after a
    * restart of the fleet their links would limit the transfer.
    */
-  const toInitialSource = (): documentFetchers.DocumentSource[] => {
+  const toInitialSources = (): documentFetchers.DocumentSource[] => {
     if (documents.version() > 0 || controls.length <= MAX_SUBSCRIPTIONS) return []
     const address = controls[Math.floor(Math.random() * controls.length)]
     return [{
@@ -147,13 +147,13 @@
     }]
   }
 
-  const toSource = (sub: Subscription): documentFetchers.DocumentSource[] => {
+  const toSources = (sub: Subscription): documentFetchers.DocumentSource[] => {
     const { address, version, link } = sub
     return link === undefined ? [] : [{ address, version, getLink: async () => link, onFailure: reason => { drop(sub, reason) } }]
   }
 
   const documents = documentFetchers.createDocumentFetcher({
-    controls: () => [...toInitialSource(), ...[...open].flatMap(toSource)],
+    controls: () => [...toInitialSources(), ...[...open].flatMap(toSources)],
     peerAddresses: opts.peerAddresses ?? (() => []),
     getPeerLink: opts.getPeerLink ?? (async address => { throw new Error(`no link to entry instance ${address}: links between entry instances are not configured`) }),
     onDocument: opts.onDocument,
