--- a/packages/coordination/src/controlInstance.ts
+++ b/packages/coordination/src/controlInstance.ts
@@ -61,8 +61,8 @@
     }
   }
   const linkCfg: links.LinkSettings = { identity: { role: 'control', id: opts.inner }, secret: opts.secret, log, handlers }
-  const book = links.createPeerLinks(linkCfg)
-  const getPeerLink = links.createPeerDialer(book, { dialTimeoutMs: DIAL_TIMEOUT_MS, backoffMs: contracts.HEARTBEAT_INTERVAL_MS }).get
+  const peerLinks = links.createPeerLinks(linkCfg)
+  const getPeerLink = links.createPeerDialer(peerLinks, { dialTimeoutMs: DIAL_TIMEOUT_MS, backoffMs: contracts.HEARTBEAT_INTERVAL_MS }).get
 
   const store = await documentStores.startDocumentStore({
     self: opts.inner,
@@ -105,7 +105,7 @@
   }
 
   const server = await links.listen(opts.inner, linkCfg, link => {
-    if (link.peer.role === 'control') book.add(link)
+    if (link.peer.role === 'control') peerLinks.add(link)
   })
   const timer = setInterval(() => { publisher.tick() }, discovery.TICK_INTERVAL_MS)
   publisher.tick()
@@ -120,7 +120,7 @@
       await store.stop().catch(err => { log.event('uncaught', { step: 'stop', detail: String(err) }) })
       await recordFile.close()
       await handoutFile.close()
-      book.close()
+      peerLinks.close()
       await server.close()
     }
   }
