--- a/packages/routing/__tests__/routing.test.ts
+++ b/packages/routing/__tests__/routing.test.ts
@@ -1,4 +1,4 @@
-/** The decisions, each on its own. */
+/** Placement, admission, limits and retry decisions. */
 import * as ava from 'ava'
 import * as fc from 'fast-check'
 import type * as contracts from '@kingcupdeck/contracts'
@@ -7,7 +7,7 @@
 const test = ava.default
 const SEED = { seed: 20261203 }
 
-test('the caps of a pool always leave room for one more', t => {
+test('the load caps of a pool always admit one more request', t => {
   fc.assert(fc.property(fc.integer({ min: 1, max: 50 }), fc.integer({ min: 0, max: 2000 }), fc.double({ min: 1.01, max: 4, noNaN: true }), (n, total, factor) => {
     const cap = routing.toLoadCap({ factor, total, weightSum: n, weight: 1, slots: 1e9 })
     return cap * n >= total + 1 && cap <= Math.max(1, factor * (total + 1) / n + 1)
@@ -17,13 +17,13 @@
 })
 
 const candidates = Array.from({ length: 8 }, (_, i) => ({ id: `e${i}`, zone: 'z', weight: 1 }))
-const input = (policy: routing.PlacementPolicy, key = 'chat'): routing.PlacementInput => ({ policy, key, candidates, loads: { reported: id => id === 'e3' ? 0 : 5, local: () => 0 }, loadFactor: 1.25, random: () => 0.4, sequence: 3 })
+const toInput = (policy: routing.PlacementPolicy, key = 'chat'): routing.PlacementInput => ({ policy, key, candidates, loads: { reported: id => id === 'e3' ? 0 : 5, local: () => 0 }, loadFactor: 1.25, random: () => 0.4, sequence: 3 })
 
-test('every policy orders every endpoint once', t => {
-  for (const policy of routing.PLACEMENT_POLICIES) t.deepEqual(routing.orderEndpoints(input(policy)).sort(), candidates.map(item => item.id), policy)
+test('every policy returns each endpoint exactly once', t => {
+  for (const policy of routing.PLACEMENT_POLICIES) t.deepEqual(routing.orderEndpoints(toInput(policy)).sort(), candidates.map(item => item.id), policy)
 })
 
-test('a chat keeps its home when others come and go', t => {
+test('removing an endpoint moves only the chats of that endpoint', t => {
   const keys = Array.from({ length: 300 }, (_, i) => `chat-${i}`)
   const homes = keys.map(key => routing.rankByRendezvous({ key, candidates })[0])
   const without = keys.map(key => routing.rankByRendezvous({ key, candidates: candidates.slice(1) })[0])
@@ -31,8 +31,8 @@
   t.true(new Set(homes).size === 8)
 })
 
-// At 12,000 endpoints a hash of each for every request would take a good part of a core: large pools are ranked in groups.
-test('a large pool is ranked in two steps, evenly, and moves little', t => {
+// Hashing every endpoint of a large pool for each request is too expensive, so large pools are ranked in groups.
+test('two-level ranking balances a large pool and moves few chats when an endpoint leaves', t => {
   const large = Array.from({ length: 2000 }, (_, i) => ({ id: `engine-${i}`, zone: 'z', weight: 1 }))
   const without = large.slice(1)
   const keys = Array.from({ length: 4000 }, (_, i) => `chat-${i}`)
@@ -44,11 +44,11 @@
     counts.set(ranked[0], (counts.get(ranked[0]) ?? 0) + 1)
     if (routing.rankByRendezvous({ key, candidates: without })[0] !== ranked[0]) moved++
   }
-  t.true(Math.max(...counts.values()) < 14, `one endpoint has ${Math.max(...counts.values())} of 4000 homes`)
-  t.true(moved < 20, `${moved} of 4000 homes moved when one endpoint of 2000 left`)
+  t.true(Math.max(...counts.values()) < 14, `one endpoint is the home of ${Math.max(...counts.values())} of 4000 chats`)
+  t.true(moved < 20, `${moved} of 4000 chats moved when 1 of 2000 endpoints left`)
 })
 
-test('the queue serves by rank, then fairly by weight', t => {
+test('the queue serves by rank, then by account weight', t => {
   const queue = routing.createFairQueue<string>()
   for (let i = 0; i < 6; i++) queue.push({ item: `surge-${i}`, rank: 2, account: 'surge', weight: 1 })
   for (let i = 0; i < 2; i++) queue.push({ item: `calm-${i}`, rank: 2, account: 'calm', weight: 1 })
@@ -61,7 +61,7 @@
   t.is(queue.take(), undefined)
 })
 
-test('a request that may not run now does not hold up the next', t => {
+test('a blocked request does not delay the next one', t => {
   const queue = routing.createFairQueue<string>()
   queue.push({ item: 'blocked', rank: 0, account: 'a', weight: 1 })
   queue.push({ item: 'free', rank: 1, account: 'b', weight: 1 })
@@ -73,7 +73,7 @@
 const window = (from: string, to: string, waitSeconds: number): contracts.PatienceWindow => ({ priority: 'p', from, to, waitSeconds })
 const at = (clock: string): number => Date.parse(`2026-12-03T${clock}:00Z`)
 
-test('patience follows the hour of the deployment, also over midnight', t => {
+test('patience windows use the deployment time zone and may span midnight', t => {
   const doc = { timeZone: 'Asia/Bangkok', patience: { day: window('08:00', '18:00', 5), night: window('18:00', '08:00', 60) } } as unknown as contracts.Document
   t.is(routing.toPatienceMs(doc, 'p', at('05:00')), 5000)
   t.is(routing.toPatienceMs(doc, 'p', at('11:30')), 60_000)
@@ -81,8 +81,8 @@
   t.is(routing.toPatienceMs(doc, 'q', at('05:00')), routing.DEFAULT_PATIENCE_MS)
 })
 
-// One account sends ten times its limit through nine instances, which each see a ninth of it.
-test('slivers add up to the fleet-wide limit', t => {
+// One account exceeds its limit tenfold, spread evenly over nine instances.
+test('the instances together enforce the fleet-wide account limit', t => {
   let now = 0
   const limit = { requestsPerSecond: 30, burst: 10 }
   const instances = Array.from({ length: 9 }, () => routing.createAccountLimits(() => now))
@@ -99,17 +99,17 @@
       shares[i] = rates.share('a', limit.requestsPerSecond)
     })
   }
-  t.true(passed / 10 > 0.7 * 30 && passed / 10 < 1.3 * 30, `${passed / 10} a second`)
+  t.true(passed / 10 > 0.7 * 30 && passed / 10 < 1.3 * 30, `${passed / 10} requests per second`)
 })
 
-test('retries end when first attempts do not pay for them', t => {
+test('retries stop when the budget is exhausted and resume with first attempts', t => {
   const budget = routing.createRetryBudget({ share: 0.2, max: 5 })
   t.is(Array.from({ length: 10 }, () => budget.tryWithdraw()).filter(Boolean).length, 5)
   for (let i = 0; i < 10; i++) budget.deposit()
   t.is(Array.from({ length: 10 }, () => budget.tryWithdraw()).filter(Boolean).length, 2)
 })
 
-test('a request at two deaths is held back, for a while', t => {
+test('a request is quarantined after two crashes until the suspicion expires', t => {
   let now = 0
   const suspects = routing.createSuspects(() => now)
   t.true(suspects.record('f', 'engine@1'))
@@ -123,12 +123,11 @@
   t.false(suspects.isQuarantined('f'))
 })
 
-// A burst: the endpoint has free slots and is held back by the cap alone. To predict a queue of seconds from that, as was
-// done before, refused callers whose patience was eight seconds and whose wait would have been one.
-test('a wait for the cap is short, a wait for slots is not', t => {
-  const wait = routing.createWaitEstimator()
-  for (let i = 0; i < 100; i++) wait.record(1000)
-  t.true(wait.predict(2, 10, 16) < 500)
-  t.true(wait.predict(16, 15, 16) > 1000)
-  t.true(wait.predict(16, 15, 16) < 1500)
+// Guards against rejecting callers on an overestimated wait while the endpoint has free slots.
+test('the predicted wait is short for the load cap and longer for slots', t => {
+  const estimator = routing.createWaitEstimator()
+  for (let i = 0; i < 100; i++) estimator.record(1000)
+  t.true(estimator.predict(2, 10, 16) < 500)
+  t.true(estimator.predict(16, 15, 16) > 1000)
+  t.true(estimator.predict(16, 15, 16) < 1500)
 })
--- a/packages/routing/src/affinityTable.ts
+++ b/packages/routing/src/affinityTable.ts
@@ -1,6 +1,6 @@
-/** Where chats last ran, for those that do not run at home: kept at the home's owner, bounded and expiring. */
+/** Chat affinity: the endpoint that last served a chat which was spilled from its home endpoint. Bounded, with expiry. */
 
-/** Places of chats. */
+/** Endpoints of spilled chats. */
 export interface AffinityTable {
   get (chat: string): string | undefined
   set (chat: string, endpoint: string): void
@@ -8,28 +8,24 @@
 }
 
 const MAX_CHATS = 50_000
-const KEEP_MS = 30 * 60 * 1000
+const ENTRY_TTL_MS = 30 * 60 * 1000
 
-/**
- * Creates an empty memory.
- * @param now monotonic milliseconds
- * @returns the memory
- */
+/** @param now monotonic milliseconds */
 export function createAffinityTable (now: () => number = () => performance.now()): AffinityTable {
-  const places = new Map<string, { endpoint: string, at: number }>()
+  const entries = new Map<string, { endpoint: string, setAt: number }>()
   return {
     get (chat) {
-      const place = places.get(chat)
-      if (place === undefined) return undefined
-      if (now() - place.at < KEEP_MS) return place.endpoint
-      places.delete(chat)
+      const entry = entries.get(chat)
+      if (entry === undefined) return undefined
+      if (now() - entry.setAt < ENTRY_TTL_MS) return entry.endpoint
+      entries.delete(chat)
       return undefined
     },
     set (chat, endpoint) {
-      places.delete(chat)
-      places.set(chat, { endpoint, at: now() })
-      if (places.size > MAX_CHATS) places.delete(places.keys().next().value as string)
+      entries.delete(chat)
+      entries.set(chat, { endpoint, setAt: now() })
+      if (entries.size > MAX_CHATS) entries.delete(entries.keys().next().value as string)
     },
-    delete (chat) { places.delete(chat) }
+    delete (chat) { entries.delete(chat) }
   }
 }
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,11 +1,11 @@
-/** Public face of routing: the decisions, each a small unit without input or output of its own. */
+/** Public API of the routing package: placement, admission, limits and retry decisions. No I/O. */
 export * from './accountLimits.js'
+export * from './affinityTable.js'
 export * from './fairQueue.js'
 export * from './fleetRates.js'
 export * from './loadCap.js'
 export * from './patience.js'
 export * from './placement.js'
 export * from './retryBudget.js'
-export * from './affinityTable.js'
 export * from './suspects.js'
 export * from './waitEstimator.js'
--- a/packages/routing/src/loadCap.ts
+++ b/packages/routing/src/loadCap.ts
@@ -1,29 +1,26 @@
-/**
- * The load cap: no endpoint is given work beyond a set multiple of the mean load across the endpoints of its pool. The
- * inequality here is the promise; the owner asserts it at every admission.
- */
+/** Bounded load: the in-flight requests of an endpoint stay within a configured multiple of the weighted mean of its pool. */
+
+/** Absorbs floating-point error before rounding up. */
+const ROUNDING = 1e-9
 
-/** What the cap of an endpoint depends on. */
 export interface LoadCapInput {
-  /** The set multiple of the mean, above 1. */
+  /** Multiple of the mean load, greater than 1. */
   factor: number
-  /** Requests in flight in the whole pool, without the one to admit. */
+  /** Requests in flight across the pool, excluding the one to be admitted. */
   total: number
   /** Sum of the weights of the pool's endpoints. */
   weightSum: number
-  /** Weight of this endpoint. */
   weight: number
-  /** How many requests the endpoint can run at once. */
+  /** Number of requests that the endpoint can run concurrently. */
   slots: number
 }
 
 /**
  * Computes how many requests an endpoint may have in flight.
- * @param input the pool's load and the endpoint's share
- * @returns the largest load that the admission of one more may lead to; at least 1, at most the endpoint's slots
+ * @returns the upper bound including the request to be admitted; at least 1, at most the endpoint's slots
  */
 export function toLoadCap (input: LoadCapInput): number {
   const mean = (input.total + 1) / Math.max(input.weightSum, input.weight)
-  const cap = Math.ceil(input.factor * mean * input.weight - 1e-9)
+  const cap = Math.ceil(input.factor * mean * input.weight - ROUNDING)
   return Math.max(1, Math.min(input.slots, cap))
 }
--- a/packages/routing/src/patience.ts
+++ b/packages/routing/src/patience.ts
@@ -1,14 +1,13 @@
-/** How long a request of some priority may wait at this time of day. */
+/** Maximum queueing time of a request by priority and time of day. */
 import * as contracts from '@kingcupdeck/contracts'
 
-/** Without a window, a request waits this long at most. */
+/** Applies when no patience window matches. */
 export const DEFAULT_PATIENCE_MS = 20_000
+const MINUTES_PER_DAY = 1440
 
 /**
- * Finds the patience in force.
- * @param doc the document
- * @param priority the request's priority
- * @param atMs wall-clock time
+ * Returns the shortest wait among the patience windows that match the priority and the local time of day.
+ * @param atMs wall-clock time, milliseconds since 1970
  * @returns milliseconds
  */
 export function toPatienceMs (doc: contracts.Document, priority: string, atMs: number): number {
@@ -31,25 +30,25 @@
   return hour * 60 + minute
 }
 
-const formats = new Map<string, Intl.DateTimeFormat>()
+const formatters = new Map<string, Intl.DateTimeFormat>()
 
-const latest = new Map<string, { epochMinute: number, minuteOfDay: number }>()
+const lastMinutes = new Map<string, { epochMinute: number, minuteOfDay: number }>()
 
-/** Asked for each request; worked out once a minute and time zone. */
+/** Caches the latest result per time zone, since formatting a date for every request is expensive. */
 function toMinuteOfDay (timeZone: string, atMs: number): number {
   const epochMinute = Math.floor(atMs / 60_000)
-  const known = latest.get(timeZone)
-  if (known?.epochMinute === epochMinute) return known.minuteOfDay
+  const cached = lastMinutes.get(timeZone)
+  if (cached?.epochMinute === epochMinute) return cached.minuteOfDay
   const minuteOfDay = formatMinuteOfDay(timeZone, atMs)
-  latest.set(timeZone, { epochMinute, minuteOfDay })
+  lastMinutes.set(timeZone, { epochMinute, minuteOfDay })
   return minuteOfDay
 }
 
 function formatMinuteOfDay (timeZone: string, atMs: number): number {
-  let format = formats.get(timeZone)
-  if (format === undefined) {
-    format = new Intl.DateTimeFormat('en-GB', { timeZone, hour: '2-digit', minute: '2-digit', hour12: false })
-    formats.set(timeZone, format)
+  let formatter = formatters.get(timeZone)
+  if (formatter === undefined) {
+    formatter = new Intl.DateTimeFormat('en-GB', { timeZone, hour: '2-digit', minute: '2-digit', hour12: false })
+    formatters.set(timeZone, formatter)
   }
-  return toMinutes(format.format(atMs)) % 1440
+  return toMinutes(formatter.format(atMs)) % MINUTES_PER_DAY
 }
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -1,45 +1,38 @@
-/**
- * Where a request goes: the order in which endpoints are asked. The chosen policy is `owner`; the others are the
- * baselines that `npm run bench` measures it against, in the same code.
- */
+/** Placement: the order in which endpoints are tried for a request. `owner` is the default; the other policies are benchmark baselines. */
 import * as contracts from '@kingcupdeck/contracts'
 
-/** The policies. */
 export const PLACEMENT_POLICIES = ['owner', 'random', 'roundRobin', 'leastReported', 'powerOfTwo', 'plainHash', 'boundedSliver'] as const
-/** A policy. */
 export type PlacementPolicy = typeof PLACEMENT_POLICIES[number]
 
-/** An endpoint as placement sees it. */
+/** An endpoint that may serve the request. */
 export interface Candidate { id: string, zone: string, weight: number }
 
-/** What placement knows of loads. */
+/** Load of the endpoints as this instance knows it. */
 export interface LoadView {
-  /** @returns the load of an endpoint as last heard of (may be old) */
+  /** @returns the load that the endpoint last reported; may be stale */
   reported (id: string): number
-  /** @returns how many requests this instance itself has in flight on the endpoint */
+  /** @returns the number of requests that this instance has in flight on the endpoint */
   local (id: string): number
 }
 
-/** What a choice depends on. */
 export interface PlacementInput {
   policy: PlacementPolicy
-  /** What keeps a chat together. */
+  /** Affinity key: requests with the same key prefer the same endpoints. */
   key: string
   candidates: readonly Candidate[]
   loads: LoadView
   loadFactor: number
   random: () => number
-  /** Counts the choices, for round robin. */
+  /** Sequence number of the decision, used by round robin. */
   sequence: number
 }
 
-/** Spills go to one of this many ranks behind the home, so that a chat has few places where its cache may be. */
+/** Number of ranks after the home that spills go to first; bounds how many endpoints cache the same chat. */
 const SPILL_RANKS = 4
 
 /**
- * Orders the endpoints that a request may go to.
- * @param input the request's key, the endpoints and what is known of their loads
- * @returns endpoint ids, the first to be asked first
+ * Orders the candidate endpoints by the placement policy.
+ * @returns endpoint ids, most preferred first
  */
 export function orderEndpoints (input: PlacementInput): string[] {
   const { policy } = input
@@ -48,37 +41,37 @@
     case 'plainHash': return rankByRendezvous(input)
     case 'boundedSliver': return orderBoundedSliver(input)
     case 'random': return shuffle(input)
-    case 'roundRobin': return rotate(input)
-    case 'leastReported': return byLoad(input, ids(input), input.loads.reported)
+    case 'roundRobin': return orderRoundRobin(input)
+    case 'leastReported': return sortByLoad(input, toIds(input), input.loads.reported)
     case 'powerOfTwo': return orderPowerOfTwo(input)
   }
 }
 
-function ids (input: PlacementInput): string[] {
+function toIds (input: PlacementInput): string[] {
   return input.candidates.map(item => item.id)
 }
 
-/** Above this many endpoints they are ranked in two steps, or each request would pay for a hash of every endpoint. */
-const FLAT_UP_TO = 256
-const GROUPS = 64
-/** Groups whose endpoints are ranked: enough for the home, the spills and the tries behind them. */
-const GROUPS_RANKED = 2
+/** Larger pools are ranked in two levels, to avoid hashing every endpoint for each request. */
+const MAX_FLAT_CANDIDATES = 256
+const GROUP_COUNT = 64
+/** Number of groups whose endpoints are ranked: enough for the home, the spill ranks and further retries. */
+const RANKED_GROUPS = 2
 
 /**
- * Ranks endpoints for a key by weighted rendezvous hashing. Of a large pool only the ranks that matter are worked out: first
- * the groups are ranked by their weight, then the endpoints of the best two.
- * @param input the key and the endpoints; the same array is expected while the endpoints stay the same
+ * Ranks endpoints for a key by weighted rendezvous hashing. Large pools are ranked in two levels: groups by their total
+ * weight, then the endpoints of the highest-ranked groups only.
+ * @param input pass the same `candidates` array while the endpoints are unchanged: the grouping is cached by array
  * @returns endpoint ids, the home first
  */
 export function rankByRendezvous (input: Pick<PlacementInput, 'key' | 'candidates'>): string[] {
   const { key, candidates } = input
-  if (candidates.length <= FLAT_UP_TO) return rankFlat(key, candidates)
+  if (candidates.length <= MAX_FLAT_CANDIDATES) return rankFlat(key, candidates)
   const groups = toGroups(candidates)
-  const best = groups
+  const topGroups = groups
     .map(group => ({ group, score: contracts.rendezvousScore(key, group.id, group.weight) }))
     .sort((a, b) => b.score - a.score)
-    .slice(0, GROUPS_RANKED)
-  return best.flatMap(item => rankFlat(key, item.group.candidates))
+    .slice(0, RANKED_GROUPS)
+  return topGroups.flatMap(item => rankFlat(key, item.group.candidates))
 }
 
 function rankFlat (key: string, candidates: readonly Candidate[]): string[] {
@@ -89,31 +82,31 @@
 
 interface Group { id: string, weight: number, candidates: Candidate[] }
 
-const groupsOf = new WeakMap<readonly Candidate[], Group[]>()
+const groupCache = new WeakMap<readonly Candidate[], Group[]>()
 
-/** The group of an endpoint follows from its id alone, so that others coming and going do not move it. */
+/** Assigns groups by endpoint id alone, so that changes to other endpoints do not move an endpoint. */
 function toGroups (candidates: readonly Candidate[]): Group[] {
-  const known = groupsOf.get(candidates)
-  if (known !== undefined) return known
-  const groups = Array.from({ length: GROUPS }, (_, i) => ({ id: `group-${i}`, weight: 0, candidates: [] as Candidate[] }))
+  const cached = groupCache.get(candidates)
+  if (cached !== undefined) return cached
+  const groups = Array.from({ length: GROUP_COUNT }, (_, i) => ({ id: `group-${i}`, weight: 0, candidates: [] as Candidate[] }))
   for (const candidate of candidates) {
-    const group = groups[contracts.hash32(candidate.id, GROUPS) % GROUPS]
+    const group = groups[contracts.hash32(candidate.id, GROUP_COUNT) % GROUP_COUNT]
     group.weight += candidate.weight
     group.candidates.push(candidate)
   }
-  const used = groups.filter(group => group.weight > 0)
-  groupsOf.set(candidates, used)
-  return used
+  const nonEmpty = groups.filter(group => group.weight > 0)
+  groupCache.set(candidates, nonEmpty)
+  return nonEmpty
 }
 
-/** Home first; then the next ranks, least loaded first as far as known; then the rest by rank. */
+/** The home first, then the spill ranks by reported load, then the remaining endpoints by rank. */
 function orderForOwner (input: PlacementInput): string[] {
   const ranked = rankByRendezvous(input)
-  const spill = byLoad(input, ranked.slice(1, 1 + SPILL_RANKS), input.loads.reported)
-  return [...ranked.slice(0, 1), ...spill, ...ranked.slice(1 + SPILL_RANKS)]
+  const spills = sortByLoad(input, ranked.slice(1, 1 + SPILL_RANKS), input.loads.reported)
+  return [...ranked.slice(0, 1), ...spills, ...ranked.slice(1 + SPILL_RANKS)]
 }
 
-/** Bounded-load hashing on what this instance alone sees: the first rank below the factor times its own mean. */
+/** Consistent hashing with bounded loads, based only on the requests that this instance has in flight. */
 function orderBoundedSliver (input: PlacementInput): string[] {
   const ranked = rankByRendezvous(input)
   const total = ranked.reduce((sum, id) => sum + input.loads.local(id), 0)
@@ -123,29 +116,29 @@
 }
 
 function orderPowerOfTwo (input: PlacementInput): string[] {
-  const mixed = shuffle(input)
-  return [...byLoad(input, mixed.slice(0, 2), input.loads.reported), ...mixed.slice(2)]
+  const shuffled = shuffle(input)
+  return [...sortByLoad(input, shuffled.slice(0, 2), input.loads.reported), ...shuffled.slice(2)]
 }
 
-function byLoad (input: PlacementInput, list: string[], load: (id: string) => number): string[] {
+function sortByLoad (input: PlacementInput, list: string[], load: (id: string) => number): string[] {
   return list.map((id, at) => ({ id, at, load: load(id) }))
     .sort((a, b) => a.load - b.load || a.at - b.at)
     .map(item => item.id)
 }
 
-function rotate (input: PlacementInput): string[] {
-  const list = ids(input)
+function orderRoundRobin (input: PlacementInput): string[] {
+  const list = toIds(input)
   const at = list.length === 0 ? 0 : input.sequence % list.length
   return [...list.slice(at), ...list.slice(0, at)]
 }
 
 function shuffle (input: PlacementInput): string[] {
-  const list = ids(input)
+  const list = toIds(input)
   for (let i = list.length - 1; i > 0; i--) {
     const j = Math.floor(input.random() * (i + 1))
-    const held = list[i]
+    const swapped = list[i]
     list[i] = list[j]
-    list[j] = held
+    list[j] = swapped
   }
   return list
 }
--- a/packages/routing/src/retryBudget.ts
+++ b/packages/routing/src/retryBudget.ts
@@ -1,38 +1,34 @@
-/** A budget for retries: a share of recent first attempts, so that an outage does not multiply the load. */
+/** A retry budget: retries are limited to a share of first attempts, so that an outage does not amplify the load. */
 
-/** Retries that may still be made. */
+/** Balance of available retries. */
 export interface RetryBudget {
-  /** Notes a first attempt, which earns a part of a retry. */
+  /** Credits a share of a retry for a first attempt. */
   deposit (): void
-  /** Spends one retry. @returns whether there was one */
+  /** Uses one retry. @returns false when the budget is exhausted */
   tryWithdraw (): boolean
 }
 
-/** Shares of one do not add up exactly. */
+/** Absorbs floating-point error of summed shares. */
 const ROUNDING = 1e-9
+const DEFAULT_SHARE = 0.2
+const DEFAULT_MAX = 50
 
-/** What a budget is built from. */
 export interface RetryBudgetOptions {
-  /** Retries earned by one first attempt. */
+  /** Retries credited for one first attempt. Default: 0.2. */
   share?: number
-  /** The most that can be saved up; also the budget at the start. */
+  /** Upper bound of the balance, and the initial balance. Default: 50. */
   max?: number
 }
 
-/**
- * Creates a budget.
- * @param opts how much is earned and saved
- * @returns the budget
- */
 export function createRetryBudget (opts: RetryBudgetOptions = {}): RetryBudget {
-  const share = opts.share ?? 0.2
-  const max = opts.max ?? 50
-  let left = max
+  const share = opts.share ?? DEFAULT_SHARE
+  const max = opts.max ?? DEFAULT_MAX
+  let balance = max
   return {
-    deposit () { left = Math.min(max, left + share) },
+    deposit () { balance = Math.min(max, balance + share) },
     tryWithdraw () {
-      if (left < 1 - ROUNDING) return false
-      left--
+      if (balance < 1 - ROUNDING) return false
+      balance--
       return true
     }
   }
--- a/packages/routing/src/suspects.ts
+++ b/packages/routing/src/suspects.ts
@@ -1,73 +1,73 @@
 /**
- * Requests that were in flight on endpoints when these died. A request seen at one death is a suspect and runs apart from
- * other suspects; seen at two deaths it is quarantined. The fingerprint leaves out the key and the attempt, because the
- * caller sends the same request again.
+ * Requests that were in flight on endpoints that crashed. After one crash a request is a suspect and runs isolated from
+ * other suspects; after QUARANTINE_CRASHES crashes it is quarantined.
  */
 
-/** News of suspects, as peers exchange it. */
+/** A suspect as exchanged between peers. */
 export interface SuspectReport { fingerprint: string, boots: string[], ageMs: number }
 
-/** The suspects that an instance knows of. */
+/** Suspect requests suspects to this instance. */
 export interface Suspects {
-  /** Notes that a request was in flight on an endpoint that died. @returns whether this was news */
+  /**
+   * Records that a request was in flight on an endpoint that crashed.
+   * @param fingerprint identifies the request across resends, so it excludes the idempotency key and the attempt
+   * @param boot process incarnation of the crashed endpoint
+   * @returns false when this crash was already recorded for the request
+   */
   record (fingerprint: string, boot: string, ageMs?: number): boolean
-  /** @returns at how many deaths it was seen */
+  /** @returns the number of crashes that the request was in flight at */
   crashCount (fingerprint: string): number
   isQuarantined (fingerprint: string): boolean
-  /** @returns milliseconds until it may be tried again */
+  /** @returns milliseconds until the suspicion expires; 0 for an unsuspects request */
   remainingMs (fingerprint: string): number
-  /** @returns what is known, for peers: of some requests, or of the latest */
+  /** @returns reports for peers: of the given requests, or of the most recent ones */
   toReports (fingerprints?: readonly string[]): SuspectReport[]
-  /** Takes what a peer knows. @returns whether anything was news */
-  merge (news: readonly SuspectReport[]): boolean
+  /** Merges reports from a peer. @returns whether any crash was new */
+  merge (reports: readonly SuspectReport[]): boolean
 }
 
-/** Deaths after which a request is held back. */
+/** Number of crashes after which a request is quarantined. */
 export const QUARANTINE_CRASHES = 2
-const REMEMBER_MS = 10 * 60 * 1000
+const SUSPECT_TTL_MS = 10 * 60 * 1000
 const MAX_SUSPECTS = 10_000
-const MAX_NEWS = 30
+const MAX_REPORTS = 30
 
-interface Suspect { boots: Set<string>, at: number }
+interface Suspect { boots: Set<string>, crashedAt: number }
 
-/**
- * Creates the suspects.
- * @param now monotonic milliseconds
- * @returns none yet
- */
+/** @param now monotonic milliseconds */
 export function createSuspects (now: () => number = () => performance.now()): Suspects {
-  const known = new Map<string, Suspect>()
+  const suspects = new Map<string, Suspect>()
 
   const find = (fingerprint: string): Suspect | undefined => {
-    const suspect = known.get(fingerprint)
-    if (suspect === undefined || now() - suspect.at < REMEMBER_MS) return suspect
-    known.delete(fingerprint)
+    const suspect = suspects.get(fingerprint)
+    if (suspect === undefined || now() - suspect.crashedAt < SUSPECT_TTL_MS) return suspect
+    suspects.delete(fingerprint)
     return undefined
   }
 
-  const note = (fingerprint: string, boot: string, ageMs = 0): boolean => {
-    const suspect = find(fingerprint) ?? { boots: new Set<string>(), at: now() - ageMs }
+  const record = (fingerprint: string, boot: string, ageMs = 0): boolean => {
+    const suspect = find(fingerprint) ?? { boots: new Set<string>(), crashedAt: now() - ageMs }
     if (suspect.boots.has(boot)) return false
     suspect.boots.add(boot)
-    suspect.at = Math.max(suspect.at, now() - ageMs)
-    known.delete(fingerprint)
-    known.set(fingerprint, suspect)
-    if (known.size > MAX_SUSPECTS) known.delete(known.keys().next().value as string)
+    suspect.crashedAt = Math.max(suspect.crashedAt, now() - ageMs)
+    suspects.delete(fingerprint)
+    suspects.set(fingerprint, suspect)
+    if (suspects.size > MAX_SUSPECTS) suspects.delete(suspects.keys().next().value as string)
     return true
   }
 
   return {
-    record: note,
+    record,
     crashCount: fingerprint => find(fingerprint)?.boots.size ?? 0,
     isQuarantined: fingerprint => (find(fingerprint)?.boots.size ?? 0) >= QUARANTINE_CRASHES,
     remainingMs: fingerprint => {
       const suspect = find(fingerprint)
-      return suspect === undefined ? 0 : REMEMBER_MS - (now() - suspect.at)
+      return suspect === undefined ? 0 : SUSPECT_TTL_MS - (now() - suspect.crashedAt)
     },
-    toReports: (fingerprints = [...known.keys()].slice(-MAX_NEWS)) => fingerprints.flatMap(fingerprint => {
+    toReports: (fingerprints = [...suspects.keys()].slice(-MAX_REPORTS)) => fingerprints.flatMap(fingerprint => {
       const suspect = find(fingerprint)
-      return suspect === undefined ? [] : [{ fingerprint, boots: [...suspect.boots], ageMs: Math.round(now() - suspect.at) }]
+      return suspect === undefined ? [] : [{ fingerprint, boots: [...suspect.boots], ageMs: Math.round(now() - suspect.crashedAt) }]
     }),
-    merge: news => news.map(item => item.boots.map(boot => note(item.fingerprint, boot, item.ageMs)).some(Boolean)).some(Boolean)
+    merge: reports => reports.map(item => item.boots.map(boot => record(item.fingerprint, boot, item.ageMs)).some(Boolean)).some(Boolean)
   }
 }
--- a/packages/routing/src/waitEstimator.ts
+++ b/packages/routing/src/waitEstimator.ts
@@ -1,33 +1,31 @@
-/** Predicts the wait in an endpoint's queue from how long requests lately ran there. */
+/** Predicts the queueing time at an endpoint from a moving average of recent execution times. */
 
-/** The estimate for one endpoint. */
+/** Estimates the queueing time at one endpoint. */
 export interface WaitEstimator {
-  /** Notes how long a request ran. */
+  /** Adds the execution time of a finished request. */
   record (ranMs: number): void
   /**
-   * @param running requests that run now
-   * @param ahead requests that wait before the one in question
-   * @param slots how many can run at once
-   * @returns milliseconds until it starts
+   * @param running number of requests in flight
+   * @param ahead number of queued requests that are served first
+   * @param slots number of requests that can run concurrently
+   * @returns milliseconds until the request starts
    */
   predict (running: number, ahead: number, slots: number): number
 }
 
-const START_MS = 1500
-const WEIGHT = 0.1
+/** Assumed execution time before the first sample. */
+const INITIAL_MEAN_MS = 1500
+const SMOOTHING_FACTOR = 0.1
+/** Expected wait for the load cap, which rises with the next load reports. */
 const CAP_WAIT_MS = 300
 
-/**
- * Creates an estimate.
- * @returns the estimate, from a guess until requests ended
- */
 export function createWaitEstimator (): WaitEstimator {
-  let meanMs = START_MS
+  let meanMs = INITIAL_MEAN_MS
   return {
-    record (ranMs) { meanMs += (ranMs - meanMs) * WEIGHT },
+    record (ranMs) { meanMs += (ranMs - meanMs) * SMOOTHING_FACTOR },
     predict (running, ahead, slots) {
       const overflow = running + ahead + 1 - slots
-      // Below its slots an endpoint is held back by the cap alone, which rises as soon as the loads of others are heard.
+      // With free slots only the load cap delays the request.
       if (overflow <= 0) return CAP_WAIT_MS
       return CAP_WAIT_MS + overflow * meanMs / slots
     }
