--- a/packages/membership/__tests__/ownership.test.ts
+++ b/packages/membership/__tests__/ownership.test.ts
@@ -1,4 +1,4 @@
-/** Views and ownership: nobody begins as owner while another instance may still act as owner. */
+/** Fleet views, endpoint ownership and the endpoint table. */
 import * as ava from 'ava'
 import type * as contracts from '@kingcupdeck/contracts'
 import * as membership from '../src/index.js'
@@ -10,7 +10,7 @@
 const left = (number: number, item: contracts.Instance): contracts.ViewChange => ({ number, kind: 'left', instance: item })
 const endpoints = Array.from({ length: 200 }, (_, i) => ({ id: `e${i}`, zone: 'z' }))
 
-test('ownership is spread and moves little', t => {
+test('ownership is balanced and moves only with the removed instance', t => {
   const three = ['a', 'b', 'c'].map((id, i) => instance(id, i + 1))
   const before = endpoints.map(item => membership.findOwner(three, item)?.id)
   const after = endpoints.map(item => membership.findOwner(three.slice(0, 2), item)?.id)
@@ -18,15 +18,14 @@
   t.true(endpoints.every((_, i) => before[i] === 'c' || before[i] === after[i]))
 })
 
-test('the endpoint\'s own zone goes first, a leaving instance last', t => {
+test('owners are chosen in the endpoint\'s zone and never among leaving instances', t => {
   const list = [instance('a', 1, 'x'), instance('b', 2, 'y'), { ...instance('c', 3, 'y'), leaving: true }]
   t.true(endpoints.every(item => membership.findOwner(list, { ...item, zone: 'y' })?.id === 'b'))
   t.is(membership.findOwner([{ ...list[0], leaving: true }], endpoints[0]), undefined)
 })
 
-// A new instance joins and owns endpoints that an older one owned. The older one has not heard of it yet and dispatches:
-// the engine would be over its cap. The new one must wait until the older one has seen the view, or lost its lease.
-test('a new owner waits for the one before it', t => {
+// Guards against two owners at once, which would exceed the load cap of the endpoint.
+test('a new owner waits until the previous owner has seen the view', t => {
   const [a, b, c] = [instance('a', 1), instance('b', 2), instance('c', 3)]
   const views = membership.createViews()
   views.apply({ number: 3, base: { number: 2, instances: [a, b] }, changes: [joined(3, c)], laggards: [{ instance: 'a', seen: 2 }] })
@@ -39,7 +38,7 @@
   t.true(moved.every(item => views.isOwnershipSettled(item)))
 })
 
-test('an instance that was removed holds nobody up', t => {
+test('a removed instance does not block ownership', t => {
   const [a, b] = [instance('a', 1), instance('b', 2)]
   const views = membership.createViews()
   views.apply({ number: 2, base: { number: 2, instances: [a, b] }, changes: [], laggards: [{ instance: 'a', seen: 1 }] })
@@ -47,9 +46,8 @@
   t.true(endpoints.every(item => views.ownerOf(item)?.id === 'b' && views.isOwnershipSettled(item)))
 })
 
-// A new control leader knows nothing of what instances have seen, and lists all of them as behind. What was known to be
-// settled stays so, or every failover would stop the fleet.
-test('what was settled stays settled under a new leader', t => {
+// A new control leader lists all instances as laggards, since it does not know which views they have seen.
+test('settled ownership stays settled after a control failover', t => {
   const [a, b] = [instance('a', 1), instance('b', 2)]
   const views = membership.createViews()
   views.apply({ number: 2, base: { number: 2, instances: [a, b] }, changes: [], laggards: [] })
@@ -57,7 +55,7 @@
   t.true(endpoints.every(item => views.isOwnershipSettled(item)))
 })
 
-test('an older view is not taken', t => {
+test('an older view is not applied', t => {
   const [a, b] = [instance('a', 1), instance('b', 2)]
   const views = membership.createViews()
   views.apply({ number: 2, base: { number: 2, instances: [a, b] }, changes: [], laggards: [] })
@@ -67,8 +65,7 @@
 
 const entry = (seq: number, state: contracts.EndpointRecord['state'] = 'ready', boot = 1): contracts.EndpointRecord => ({ id: 'e', service: 's', zone: 'z', address: '127.0.0.1:1', boot, seq, state, slots: 1, weight: 1, models: [], checksFencing: false })
 
-// News of an endpoint arrives late and crossed. The endpoint's own numbers decide, never the order of arrival.
-test('late news of an endpoint changes nothing', t => {
+test('entries are merged by boot and sequence number, not by order of arrival', t => {
   const table = membership.createEndpointTable()
   t.true(table.merge(entry(5, 'leaving')))
   t.false(table.merge(entry(4)))
@@ -79,7 +76,7 @@
   t.deepEqual(table.ready('s').map(item => item.boot), [2])
 })
 
-test('equal tables have equal digests, and differences are found', t => {
+test('equal tables have equal digests, and differing entries are found', t => {
   const [left, right] = [membership.createEndpointTable(), membership.createEndpointTable()]
   const list = Array.from({ length: 100 }, (_, i) => ({ ...entry(1), id: `e${i}` }))
   list.forEach(left.merge)
--- a/packages/membership/src/controlClient.ts
+++ b/packages/membership/src/controlClient.ts
@@ -1,64 +1,57 @@
-/** Calls to the control instances: finds the leader of a group and follows it when it changes. */
+/** Client of the control instances: calls the leader of a replica group and follows leader changes. */
 import * as timers from 'node:timers/promises'
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
 
-/** A control instance as the settings name it. */
+/** Id and address of a control instance, from the settings. */
 export interface ControlAddress { id: string, address: string }
 
-/** Which replica group a call is for. */
+/** Name of a replica group of the control instances. */
 export type ReplicaGroup = 'fleet' | `ledger-${number}`
 
-/** Calls to the control instances. */
 export interface ControlClient {
   /**
-   * Asks the leader of a group, trying on until the deadline.
-   * @returns its answer, never `notLeader`
-   * @throws ControlError when no leader answered in time; the call may or may not have been obeyed
+   * Calls the leader of a group, retrying until the deadline.
+   * @returns the leader's reply, never `notLeader`
+   * @throws ControlError when no leader replied in time; the call may or may not have taken effect
    */
   call (group: ReplicaGroup, msg: contracts.ControlCall, timeoutMs: number): Promise<contracts.ControlReply>
-  /** Sends the leader of the fleet's group an event, if a link to it is open. */
+  /** Sends an event to the leader of the `fleet` group; dropped when no link to it is open. */
   send (msg: contracts.ControlEvent): void
   close (): void
 }
 
-/** No leader answered in time. */
+/** No leader replied before the deadline. */
 export class ControlError extends Error {}
 
-/** A single try waits this long, so that a frozen leader costs no more. */
-const TRY_MS = 1200
-const PAUSE_MS = 60
+/** Timeout of a single attempt, which bounds the delay caused by an unresponsive leader. */
+const ATTEMPT_TIMEOUT_MS = 1200
+const RETRY_DELAY_MS = 60
 
-/** What a control client is built from. */
 export interface ControlClientOptions extends Omit<links.LinkSettings, 'handlers'> {
   controls: readonly ControlAddress[]
   onEvent (msg: contracts.ControlEvent): void
 }
 
-/**
- * Creates a client of the control instances.
- * @param opts who we are, and where the control instances are
- * @returns the client
- */
 export function createControlClient (opts: ControlClientOptions): ControlClient {
   const leaders = new Map<ReplicaGroup, string>()
-  const book = links.createPeerLinks({
+  const peerBook = links.createPeerLinks({
     ...opts,
     handlers: {
       onEvent: body => {
         const msg = contracts.controlEvent.safeParse(body)
         if (msg.success) opts.onEvent(msg.data)
       },
-      onCall: async () => { throw new Error('a client takes no calls') }
+      onCall: async () => { throw new Error('a control client accepts no calls') }
     }
   })
 
-  const tryOne = async (control: ControlAddress, msg: contracts.ControlCall, timeoutMs: number): Promise<contracts.ControlReply> => {
-    const link = await book.get(control.id, control.address)
+  const callInstance = async (control: ControlAddress, msg: contracts.ControlCall, timeoutMs: number): Promise<contracts.ControlReply> => {
+    const link = await peerBook.get(control.id, control.address)
     return contracts.controlReply.parse(await link.call(msg, timeoutMs))
   }
 
-  const next = (id: string | undefined): ControlAddress => {
+  const nextControl = (id: string | undefined): ControlAddress => {
     const at = opts.controls.findIndex(item => item.id === id)
     return opts.controls[(at + 1) % opts.controls.length]
   }
@@ -68,11 +61,11 @@
       const deadline = performance.now() + timeoutMs
       let target = opts.controls.find(item => item.id === leaders.get(group)) ?? opts.controls[0]
       while (true) {
-        const left = deadline - performance.now()
-        if (left <= 0) throw new ControlError(`no leader of group ${group} answered within ${timeoutMs} ms`)
+        const remainingMs = deadline - performance.now()
+        if (remainingMs <= 0) throw new ControlError(`no leader of replica group ${group} replied within ${timeoutMs} ms`)
         let hint: string | undefined
         try {
-          const reply = await tryOne(target, msg, Math.min(TRY_MS, left))
+          const reply = await callInstance(target, msg, Math.min(ATTEMPT_TIMEOUT_MS, remainingMs))
           if (reply.t !== 'notLeader') {
             leaders.set(group, target.id)
             return reply
@@ -82,14 +75,14 @@
           hint = undefined
         }
         const hinted = opts.controls.find(item => item.id === hint && item.id !== target.id)
-        target = hinted ?? next(target.id)
-        await timers.setTimeout(PAUSE_MS)
+        target = hinted ?? nextControl(target.id)
+        await timers.setTimeout(RETRY_DELAY_MS)
       }
     },
     send (msg) {
       const leader = leaders.get('fleet')
-      if (leader !== undefined) book.peek(leader)?.send(msg)
+      if (leader !== undefined) peerBook.peek(leader)?.send(msg)
     },
-    close () { book.close() }
+    close () { peerBook.close() }
   }
 }
--- a/packages/membership/src/fleetViews.ts
+++ b/packages/membership/src/fleetViews.ts
@@ -1,36 +1,32 @@
 /**
- * The views of the fleet as one instance knows them. The current view says who owns an endpoint; the views before it say
- * who may still believe to own it.
+ * Fleet views known to this instance. The current view determines endpoint owners; earlier views show which instances may
+ * still act as owners.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import * as ownership from './ownership.js'
 
-/** The views that an instance knows. */
+/** The current fleet view and the earlier ones that some instance may still act on. */
 export interface Views {
   /** Number of the current view; 0 before the first. */
   number (): number
   instances (): readonly contracts.Instance[]
   find (id: string): contracts.Instance | undefined
-  /** Takes an update. @returns whether the view changed */
+  /** Applies an update; older ones are ignored. @returns whether the current view changed */
   apply (update: contracts.ViewUpdate): boolean
   /** @returns the owner of an endpoint in the current view */
   ownerOf (endpoint: ownership.EndpointLocation): contracts.Instance | undefined
-  /** @returns whether nobody but the owner of the current view can still act as owner of this endpoint */
+  /** @returns whether no instance other than the current owner can still act as owner of the endpoint */
   isOwnershipSettled (endpoint: ownership.EndpointLocation): boolean
 }
 
 interface View { number: number, instances: contracts.Instance[], owners: Map<string, contracts.Instance | undefined> }
 
-/** Views kept to judge laggards by; a laggard further behind than this holds everything up until its lease ends. */
+/** Number of retained views. A laggard that is further behind blocks all ownership changes until its lease expires. */
 const MAX_VIEWS = 64
 
-/**
- * Creates the views of an instance that knows none yet.
- * @returns the views
- */
 export function createViews (): Views {
   let views: View[] = [{ number: 0, instances: [], owners: new Map() }]
-  /** The latest view that each member, by incarnation, is known to have seen; this only grows. */
+  /** The latest view that each instance incarnation is known to have seen; never decreases. */
   const seen = new Map<string, number>()
   const current = (): View => views[views.length - 1]
 
@@ -41,26 +37,26 @@
     return owner
   }
 
-  const step = (change: contracts.ViewChange): void => {
+  const appendView = (change: contracts.ViewChange): void => {
     const { instances } = current()
-    views.push({ number: change.number, instances: toNext(instances, change), owners: new Map() })
+    views.push({ number: change.number, instances: toNextInstances(instances, change), owners: new Map() })
     if (views.length > MAX_VIEWS) views.shift()
   }
 
-  // A member has acted on no view before the one that it joined with, which its incarnation is the number of.
-  const seenBy = (member: contracts.Instance): number => seen.get(toMemberId(member)) ?? member.incarnation
+  // An instance's incarnation is the number of the view it joined with, so it cannot have acted on an earlier view.
+  const seenBy = (instance: contracts.Instance): number => seen.get(toMemberId(instance)) ?? instance.incarnation
 
-  const noteSeen = (update: contracts.ViewUpdate): void => {
-    const now = current()
-    for (const member of now.instances) {
-      const laggard = update.laggards.find(item => item.instance === member.id)
-      seen.set(toMemberId(member), Math.max(seenBy(member), laggard?.seen ?? update.number))
+  const recordSeen = (update: contracts.ViewUpdate): void => {
+    const latest = current()
+    for (const instance of latest.instances) {
+      const laggard = update.laggards.find(item => item.instance === instance.id)
+      seen.set(toMemberId(instance), Math.max(seenBy(instance), laggard?.seen ?? update.number))
     }
-    const isMember = new Set(now.instances.map(toMemberId))
+    const memberIds = new Set(latest.instances.map(toMemberId))
     for (const id of seen.keys()) {
-      if (!isMember.has(id)) seen.delete(id)
+      if (!memberIds.has(id)) seen.delete(id)
     }
-    const oldest = Math.min(now.number, ...now.instances.map(seenBy))
+    const oldest = Math.min(latest.number, ...latest.instances.map(seenBy))
     while (views.length > 1 && views[0].number < oldest) views.shift()
   }
 
@@ -70,27 +66,27 @@
     find: id => current().instances.find(item => item.id === id),
     apply (update) {
       const before = current().number
-      // An instance never takes an older view: a deposed leader's words may still be under way.
+      // Updates of a deposed leader may still be in flight, so an older view is never applied.
       if (update.number < before) return false
       if (update.base !== undefined && update.number > before) views = [{ number: update.base.number, instances: update.base.instances, owners: new Map() }]
       for (const change of update.changes) {
-        if (change.number === current().number + 1) step(change)
+        if (change.number === current().number + 1) appendView(change)
       }
-      if (current().number === update.number) noteSeen(update)
+      if (current().number === update.number) recordSeen(update)
       return current().number !== before
     },
     ownerOf: endpoint => ownerIn(current(), endpoint),
     isOwnershipSettled (endpoint) {
-      const now = current()
-      const owner = ownerIn(now, endpoint)
-      for (const other of now.instances) {
+      const latest = current()
+      const owner = ownerIn(latest, endpoint)
+      for (const other of latest.instances) {
         if (other.id === owner?.id) continue
-        const latest = seenBy(other)
-        if (latest >= now.number) continue
-        // Too far behind to judge what it may believe: wait for it, or for its lease to end.
-        if (latest < views[0].number) return false
+        const lastSeen = seenBy(other)
+        if (lastSeen >= latest.number) continue
+        // The views it may act on are no longer retained: wait until it catches up or its lease expires.
+        if (lastSeen < views[0].number) return false
         for (const view of views) {
-          if (view.number >= latest && view !== now && ownerIn(view, endpoint)?.id === other.id) return false
+          if (view.number >= lastSeen && view !== latest && ownerIn(view, endpoint)?.id === other.id) return false
         }
       }
       return true
@@ -98,11 +94,11 @@
   }
 }
 
-function toMemberId (member: contracts.Instance): string {
-  return `${member.id}#${member.incarnation}`
+function toMemberId (instance: contracts.Instance): string {
+  return `${instance.id}#${instance.incarnation}`
 }
 
-function toNext (instances: readonly contracts.Instance[], change: contracts.ViewChange): contracts.Instance[] {
+function toNextInstances (instances: readonly contracts.Instance[], change: contracts.ViewChange): contracts.Instance[] {
   const others = instances.filter(item => item.id !== change.instance.id)
   switch (change.kind) {
     case 'joined': return [...others, change.instance]
--- a/packages/membership/src/gossip.ts
+++ b/packages/membership/src/gossip.ts
@@ -1,112 +1,109 @@
 /**
- * Spreads endpoint entries between instances under a byte budget: news goes to a few random peers at once, and a digest
- * compared with one random peer a second finds whatever was missed.
+ * Gossip of endpoint entries between instances under a byte budget: updates go to random peers, and periodic digest
+ * comparison with a random peer repairs missed updates.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
 import * as endpointTable from './endpointTable.js'
 
-/** What gossip is built from. */
 export interface GossipOptions {
   table: endpointTable.EndpointTable
-  /** @returns the other instances of the view */
+  /** @returns the other instances of the current view */
   peers (): readonly contracts.Instance[]
-  /** Asks a peer. */
   call (peer: contracts.Instance, msg: contracts.PeerCall): Promise<contracts.PeerReply>
   random: () => number
-  /** Bytes a second that gossip may send; what does not fit waits. */
+  /** Send limit of gossip; updates over the limit are deferred. Default: 2500. */
   bytesPerSecond?: number
 }
 
-/** The spreading of endpoint entries. */
+/** Disseminates endpoint entries. */
 export interface Gossip {
-  /** Takes an entry and spreads it if it was news. @returns whether it was */
+  /** Merges an entry into the table and gossips it if it is newer. @returns whether it was newer */
   merge (entry: contracts.EndpointRecord): boolean
-  /** Answers a peer. */
+  /** Handles a gossip call of a peer. */
   onCall (msg: Extract<contracts.PeerCall, { t: 'gossip' }>): contracts.PeerReply
   stop (): void
 }
 
-const TICK_MS = 200
-const DIGEST_EVERY_TICKS = 5
-/** To how many peers an instance passes a piece of news on: enough for all to hear with high probability. */
-const NEWS_FANOUT = 2
+const ROUND_MS = 200
+const ROUNDS_PER_DIGEST = 5
+/** Number of peers that each instance forwards an update to, which reaches all instances with high probability. */
+const UPDATE_FANOUT = 2
+const SWEEP_INTERVAL_MS = 30_000
 const DEFAULT_BYTES_PER_SECOND = 2500
-/** Size of an entry on the wire, for the budget. */
+/** Assumed size of an encoded entry, for the byte budget. */
 const ENTRY_BYTES = 170
+/** Assumed size of the encoded bucket digests. */
 const DIGESTS_BYTES = 180
 
-/**
- * Starts to spread.
- * @param opts the table and the way to peers
- * @returns the gossip
- */
+/** Creates the gossip and starts its timers; `stop` ends them. */
 export function createGossip (opts: GossipOptions): Gossip {
-  const budget = opts.bytesPerSecond ?? DEFAULT_BYTES_PER_SECOND
-  const news = new Map<string, number>()
-  let allowance = budget
-  let ticks = 0
+  const bytesPerSecond = opts.bytesPerSecond ?? DEFAULT_BYTES_PER_SECOND
+  /** Remaining transmissions of each pending update, by endpoint id, oldest first. */
+  const pending = new Map<string, number>()
+  let availableBytes = bytesPerSecond
+  let rounds = 0
 
-  const learn = (entry: contracts.EndpointRecord): boolean => {
+  const merge = (entry: contracts.EndpointRecord): boolean => {
     if (!opts.table.merge(entry)) return false
-    news.delete(entry.id)
-    news.set(entry.id, NEWS_FANOUT)
+    pending.delete(entry.id)
+    pending.set(entry.id, UPDATE_FANOUT)
     return true
   }
 
-  /** Newest news first, as many as the budget allows. */
-  const takeNews = (): contracts.EndpointRecord[] => {
+  /** Returns the newest pending updates, as many as the byte budget permits. */
+  const dequeueUpdates = (): contracts.EndpointRecord[] => {
     const list: contracts.EndpointRecord[] = []
-    for (const id of [...news.keys()].reverse()) {
-      if (allowance < ENTRY_BYTES) break
+    for (const id of [...pending.keys()].reverse()) {
+      if (availableBytes < ENTRY_BYTES) break
       const entry = opts.table.get(id)
-      const left = (news.get(id) ?? 1) - 1
-      if (left <= 0) news.delete(id)
-      else news.set(id, left)
+      const remaining = (pending.get(id) ?? 1) - 1
+      if (remaining <= 0) pending.delete(id)
+      else pending.set(id, remaining)
       if (entry === undefined) continue
       list.push(entry)
-      allowance -= ENTRY_BYTES
+      availableBytes -= ENTRY_BYTES
     }
     return list
   }
 
-  const turn = async (): Promise<void> => {
-    ticks++
-    allowance = Math.min(budget, allowance + budget * TICK_MS / 1000)
-    const isDigestTurn = ticks % DIGEST_EVERY_TICKS === 0
-    if (!isDigestTurn && news.size === 0) return
+  const runRound = async (): Promise<void> => {
+    rounds++
+    availableBytes = Math.min(bytesPerSecond, availableBytes + bytesPerSecond * ROUND_MS / 1000)
+    const isDigestRound = rounds % ROUNDS_PER_DIGEST === 0
+    if (!isDigestRound && pending.size === 0) return
     const peers = opts.peers()
-    if (peers.length === 0 || allowance < DIGESTS_BYTES) return
+    if (peers.length === 0 || availableBytes < DIGESTS_BYTES) return
     const peer = peers[Math.floor(opts.random() * peers.length)]
-    const reply = await opts.call(peer, { t: 'gossip', digests: isDigestTurn ? [opts.table.digest()] : [], entries: takeNews() })
-    if (reply.t === 'gossip' && isDigestTurn && !reply.isEqual) await compareBuckets(peer)
+    const reply = await opts.call(peer, { t: 'gossip', digests: isDigestRound ? [opts.table.digest()] : [], entries: dequeueUpdates() })
+    if (reply.t === 'gossip' && isDigestRound && !reply.isEqual) await compareBuckets(peer)
   }
 
-  /** The tables differ: asks the peer for what lies in the buckets that differ. */
+  /** Fetches the entries of the buckets that differ from the peer's. */
   const compareBuckets = async (peer: contracts.Instance): Promise<void> => {
-    allowance -= DIGESTS_BYTES
+    availableBytes -= DIGESTS_BYTES
     const reply = await opts.call(peer, { t: 'gossip', digests: opts.table.bucketDigests(), entries: [] })
-    if (reply.t === 'gossip') reply.entries.forEach(learn)
+    if (reply.t === 'gossip') reply.entries.forEach(merge)
   }
 
-  const stop = links.startPeriodic(TICK_MS, turn, () => {})
-  const stopSweep = links.startPeriodic(30_000, () => { opts.table.sweep(performance.now()) }, () => {})
+  const stopRounds = links.startPeriodic(ROUND_MS, runRound, () => {})
+  const stopSweep = links.startPeriodic(SWEEP_INTERVAL_MS, () => { opts.table.sweep(performance.now()) }, () => {})
 
   return {
-    merge: learn,
+    merge,
     onCall (msg) {
-      msg.entries.forEach(learn)
+      msg.entries.forEach(merge)
       if (msg.digests.length === 0) return { t: 'gossip', entries: [], isEqual: true }
       if (msg.digests.length === 1) return { t: 'gossip', entries: [], isEqual: msg.digests[0] === opts.table.digest() }
-      const missing = opts.table.findDifferences(msg.digests)
-      const most = Math.max(0, Math.floor(allowance / ENTRY_BYTES))
-      const start = missing.length > most ? Math.floor(opts.random() * missing.length) : 0
-      const entries = [...missing.slice(start), ...missing.slice(0, start)].slice(0, most)
-      allowance -= entries.length * ENTRY_BYTES
+      const differing = opts.table.findDifferences(msg.digests)
+      const limit = Math.max(0, Math.floor(availableBytes / ENTRY_BYTES))
+      const start = differing.length > limit ? Math.floor(opts.random() * differing.length) : 0
+      const entries = [...differing.slice(start), ...differing.slice(0, start)].slice(0, limit)
+      availableBytes -= entries.length * ENTRY_BYTES
       return { t: 'gossip', entries, isEqual: false }
     },
     stop () {
-      stop()
+      stopRounds()
       stopSweep()
     }
   }
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,7 +1,7 @@
-/** Public face of membership: leases, views, ownership, and the spreading of endpoint entries. */
+/** Public API of the membership package: leases, fleet views, endpoint ownership and gossip. */
 export * from './controlClient.js'
 export * from './endpointTable.js'
+export * from './fleetViews.js'
 export * from './gossip.js'
 export * from './membership.js'
 export * from './ownership.js'
-export * from './fleetViews.js'
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,6 +1,6 @@
 /**
- * An instance's membership: its lease, the view, the document in force, and the fleet-wide loads and limits, all of which
- * come with the renewals of the lease or are pushed in between.
+ * Fleet membership of an entry instance: its lease, the fleet view, the configuration document, and fleet-wide loads and
+ * limits. Received with lease renewals, and pushed by the control leader in between.
  */
 import * as most from 'most'
 import * as contracts from '@kingcupdeck/contracts'
@@ -9,41 +9,43 @@
 import * as controlClient from './controlClient.js'
 import * as fleetViews from './fleetViews.js'
 
-/** The load of a pool at all other instances, with when it was heard. */
+/** Load that all other instances have on a pool, with the monotonic time of its receipt. */
 export interface RemoteLoad extends contracts.PoolLoad { receivedAt: number }
 
-/** What an instance is to its fleet. */
+/** Fleet membership of this instance. */
 export interface Membership {
   readonly views: fleetViews.Views
   readonly control: controlClient.ControlClient
-  /** @returns this instance as the view names it */
+  /** @returns this instance with its current incarnation; 0 until a lease is granted */
   self (): contracts.Instance
-  /** @returns whether the lease lasts, the document is known and the view holds this instance */
+  /** @returns whether the lease is valid, the document is known and the view contains this incarnation */
   isServing (): boolean
-  /** @returns milliseconds of lease left; negative once it ran out */
+  /** @returns milliseconds until the lease expires; negative after expiry */
   leaseRemainingMs (): number
   document (): contracts.Document | null
   documentVersion (): number
-  /** @returns what all other instances have in flight on a pool */
+  /** @returns the load that all other instances have on a pool; undefined before the first report */
   remoteLoad (pool: string): RemoteLoad | undefined
-  /** @returns the share of a client account's traffic that may pass, 1 when it is within its limit */
+  /** @returns the fraction of a client account's demand that may pass; 1 when it is within its limit */
   accountShare (account: string): number
-  /** Each new version of the document that came into force. */
+  /** Emits each new version of the configuration document. */
   readonly documents: most.Stream<contracts.Document>
-  /** Each new view. */
+  /** Emits the number of each new view. */
   readonly viewNumbers: most.Stream<number>
-  /** Ticks when the loads of other instances were heard. */
+  /** Emits when the loads of other instances were received. */
   readonly poolLoadUpdates: most.Stream<null>
-  /** Tells the leader of changed loads without waiting for the next renewal; at once where requests wait for the cap. */
+  /**
+   * Schedules a load report to the control leader before the next renewal.
+   * @param isUrgent shortens the delay, for when requests are queued for the load cap
+   */
   reportLoads (isUrgent: boolean): void
-  /** Tells the fleet that this instance takes no new callers and owns nothing any more. */
+  /** Announces that this instance accepts no new callers and owns no endpoints any more. */
   drain (): Promise<void>
-  /** Gives the lease back. */
+  /** Returns the lease and stops renewing it. */
   leave (): Promise<void>
   stop (): void
 }
 
-/** What a membership is built from. */
 export interface MembershipOptions {
   instance: Omit<contracts.Instance, 'incarnation' | 'leaving'>
   controls: readonly controlClient.ControlAddress[]
@@ -51,22 +53,18 @@
   log: telemetry.Log
   invariants: telemetry.Invariants
   count?: links.CountBytes
-  /** @returns what this instance has in flight, per pool */
+  /** @returns the load that this instance has on each pool */
   loads (): contracts.PoolLoad[]
-  /** @returns requests per client account since the last call */
+  /** @returns the requests of each client account since the last call */
   collectDemand (): Array<{ account: string, count: number }>
 }
 
 const RENEW_TIMEOUT_MS = 2500
-/** At most this often, loads are reported between renewals. */
-const REPORT_MS = 200
-const URGENT_REPORT_MS = 15
+/** Delay that coalesces load reports between renewals. */
+const REPORT_DELAY_MS = 200
+const URGENT_REPORT_DELAY_MS = 15
 
-/**
- * Joins the fleet and keeps the lease until stopped.
- * @param opts who this instance is
- * @returns the membership; it serves once the first lease is granted
- */
+/** Joins the fleet and renews the lease until stopped. */
 export function createMembership (opts: MembershipOptions): Membership {
   const views = fleetViews.createViews()
   const documents = links.createSubject<contracts.Document>()
@@ -75,7 +73,7 @@
   let incarnation = 0
   let isLeaving = false
   let hasLeft = false
-  let leaseUntil = -Infinity
+  let leaseExpiresAt = -Infinity
   let wasServing = false
   let document: contracts.Document | null = null
   let documentVersion = 0
@@ -84,10 +82,10 @@
   let reportTimer: NodeJS.Timeout | undefined
   let isReportUrgent = false
 
-  let known: contracts.Instance = { ...opts.instance, incarnation, leaving: isLeaving }
+  let cachedSelf: contracts.Instance = { ...opts.instance, incarnation, leaving: isLeaving }
   const self = (): contracts.Instance => {
-    if (known.incarnation !== incarnation || known.leaving !== isLeaving) known = { ...opts.instance, incarnation, leaving: isLeaving }
-    return known
+    if (cachedSelf.incarnation !== incarnation || cachedSelf.leaving !== isLeaving) cachedSelf = { ...opts.instance, incarnation, leaving: isLeaving }
+    return cachedSelf
   }
 
   const control = controlClient.createControlClient({
@@ -96,30 +94,29 @@
     log: opts.log,
     countBytes: opts.count,
     controls: opts.controls,
-    onEvent: msg => { takeEvent(msg) }
+    onEvent: msg => { onEvent(msg) }
   })
 
-  const takeEvent = (msg: contracts.ControlEvent): void => {
+  const onEvent = (msg: contracts.ControlEvent): void => {
     switch (msg.t) {
-      case 'view': takeView(msg.view); sendSeen(); break
-      case 'document': takeDocument(msg.document); sendSeen(); break
-      case 'pools': takePools(msg.pools); break
+      case 'view': applyView(msg.view); acknowledgeView(); break
+      case 'document': applyDocument(msg.document); acknowledgeView(); break
+      case 'pools': applyPools(msg.pools); break
       case 'loads':
       case 'viewSeen': break
     }
   }
 
-  const sendSeen = (): void => {
+  const acknowledgeView = (): void => {
     control.send({ t: 'viewSeen', instance: opts.instance.id, incarnation, viewSeen: views.number(), documentVersion })
   }
 
-  const takeView = (update: contracts.ViewUpdate): void => {
+  const applyView = (update: contracts.ViewUpdate): void => {
     if (views.apply(update)) viewNumbers.next(views.number())
   }
 
-  // Guards against a reverted configuration: an isolated control leader, or a message that was long under way, may
-  // offer an older version. Versions are given by the log, so a lower one is always older news.
-  const takeDocument = (update: contracts.DocumentUpdate): void => {
+  // Guards against a reverted configuration: an isolated control leader or a delayed message may offer an older version.
+  const applyDocument = (update: contracts.DocumentUpdate): void => {
     if (update.version <= documentVersion) return
     let next: contracts.Document
     if (update.whole !== undefined) next = update.whole as contracts.Document
@@ -132,42 +129,42 @@
     documents.next(next)
   }
 
-  const takePools = (list: readonly contracts.PoolLoad[]): void => {
-    const heardAt = performance.now()
+  const applyPools = (list: readonly contracts.PoolLoad[]): void => {
+    const receivedAt = performance.now()
     pools.clear()
-    for (const item of list) pools.set(item.pool, { ...item, receivedAt: heardAt })
+    for (const item of list) pools.set(item.pool, { ...item, receivedAt })
     poolNews.next(null)
   }
 
   const renew = async (): Promise<void> => {
     if (hasLeft) return
-    const asked = incarnation
-    // The lease counts from before the renewal is sent: however long the answer takes, the leader's count ends later.
+    const requestedIncarnation = incarnation
+    // The lease starts before the renewal is sent, so that it expires here before it expires at the leader.
     const sentAt = performance.now()
     const reply = await control.call('fleet', {
       t: 'renew', id: opts.instance.id, incarnation, leaving: isLeaving, instance: incarnation === 0 ? self() : undefined, viewSeen: views.number(), documentVersion, loads: opts.loads(), demand: opts.collectDemand()
     }, RENEW_TIMEOUT_MS)
     switch (reply.t) {
       case 'lease':
-        if (incarnation !== asked) return
+        if (incarnation !== requestedIncarnation) return
         incarnation = reply.incarnation
-        takeView(reply.view)
-        if (reply.document !== undefined) takeDocument(reply.document)
-        takePools(reply.pools)
+        applyView(reply.view)
+        if (reply.document !== undefined) applyDocument(reply.document)
+        applyPools(reply.pools)
         shares = new Map(reply.limits.map(item => [item.account, item.share]))
-        leaseUntil = Math.max(leaseUntil, sentAt + reply.leaseMs)
+        leaseExpiresAt = Math.max(leaseExpiresAt, sentAt + reply.leaseMs)
         break
       case 'lapsed':
-        // Requests that were handed to the lapsed incarnation are void from now on.
+        // Requests dispatched to the lapsed incarnation are void.
         if (reply.incarnation === incarnation) incarnation = 0
-        leaseUntil = -Infinity
+        leaseExpiresAt = -Infinity
         break
       default: break
     }
-    noteServing()
+    logServingChange()
   }
 
-  const noteServing = (): void => {
+  const logServingChange = (): void => {
     const isServingNow = isServing()
     if (isServingNow === wasServing) return
     wasServing = isServingNow
@@ -175,12 +172,12 @@
   }
 
   const isServing = (): boolean => {
-    if (performance.now() >= leaseUntil || document === null || incarnation === 0) return false
+    if (performance.now() >= leaseExpiresAt || document === null || incarnation === 0) return false
     return views.find(opts.instance.id)?.incarnation === incarnation
   }
 
-  const stopRenewing = links.startPeriodic(contracts.LEASE_RENEW_INTERVAL_MS, renew, () => { noteServing() })
-  // Not before the caller holds what this returns: the first renewal asks it for its loads.
+  const stopRenewing = links.startPeriodic(contracts.LEASE_RENEW_INTERVAL_MS, renew, () => { logServingChange() })
+  // Deferred until the caller has the membership: the first renewal calls `opts.loads`.
   setImmediate(() => { renew().catch(() => {}) })
 
   return {
@@ -188,7 +185,7 @@
     control,
     self,
     isServing,
-    leaseRemainingMs: () => leaseUntil - performance.now(),
+    leaseRemainingMs: () => leaseExpiresAt - performance.now(),
     document: () => document,
     documentVersion: () => documentVersion,
     remoteLoad: pool => pools.get(pool),
@@ -203,7 +200,7 @@
       reportTimer = setTimeout(() => {
         reportTimer = undefined
         if (isServing()) control.send({ t: 'loads', instance: opts.instance.id, incarnation, loads: opts.loads(), isUrgent })
-      }, isUrgent ? URGENT_REPORT_MS : REPORT_MS)
+      }, isUrgent ? URGENT_REPORT_DELAY_MS : REPORT_DELAY_MS)
     },
     async drain () {
       isLeaving = true
@@ -212,7 +209,7 @@
     async leave () {
       hasLeft = true
       await control.call('fleet', { t: 'leave', instance: opts.instance.id, incarnation }, RENEW_TIMEOUT_MS).catch(() => {})
-      leaseUntil = -Infinity
+      leaseExpiresAt = -Infinity
     },
     stop () {
       clearTimeout(reportTimer)
--- a/packages/membership/src/ownership.ts
+++ b/packages/membership/src/ownership.ts
@@ -1,19 +1,17 @@
-/** Who owns an endpoint: the instance that all work for the endpoint passes through. */
+/** Endpoint ownership: all requests to an endpoint pass through the one instance that owns it. */
 import * as contracts from '@kingcupdeck/contracts'
 
-/** What ownership depends on, of an endpoint. */
+/** The properties of an endpoint that its ownership depends on. */
 export interface EndpointLocation { id: string, zone: string }
 
 /**
- * Finds the owner of an endpoint by rendezvous hashing, preferring instances of the endpoint's own availability zone.
- * @param instances the instances of a view
- * @param endpoint the endpoint
- * @returns the owner, or undefined in an empty view
+ * Finds the owner of an endpoint by rendezvous hashing, preferring instances in the endpoint's availability zone.
+ * @returns undefined when all instances are leaving or there are none
  */
 export function findOwner (instances: readonly contracts.Instance[], endpoint: EndpointLocation): contracts.Instance | undefined {
-  const staying = instances.filter(item => !item.leaving)
-  const near = staying.filter(item => item.zone === endpoint.zone)
-  const candidates = near.length > 0 ? near : staying
+  const remaining = instances.filter(item => !item.leaving)
+  const sameZone = remaining.filter(item => item.zone === endpoint.zone)
+  const candidates = sameZone.length > 0 ? sameZone : remaining
   let best: contracts.Instance | undefined
   let bestScore = -Infinity
   for (const candidate of candidates) {
