--- a/packages/state/__tests__/dynamicMembership.test.ts
+++ b/packages/state/__tests__/dynamicMembership.test.ts
@@ -1,10 +1,10 @@
-/** A group whose members come and go: founded by a few, joined by others, replaced by machines at other addresses. */
+/** Dynamic membership: joining, removal and replacement of replicas. */
 import * as ava from 'ava'
 import * as virtual from './helpers/virtualCluster.js'
 
 const test = ava.default
 
-async function found (founders: string[], others: string[], seed: number): Promise<virtual.VirtualCluster> {
+async function startGroup (founders: string[], others: string[], seed: number): Promise<virtual.VirtualCluster> {
   const cluster = new virtual.VirtualCluster(founders, seed, 20, true)
   for (const name of founders) await cluster.start(name)
   for (const name of others) await cluster.add(name)
@@ -16,17 +16,15 @@
   return (cluster.leader()?.process.replica?.status().voters ?? []).map(id => id.split('#')[0]).sort()
 }
 
-test('replicas that are no founders are admitted', async t => {
-  const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 3)
+test('replicas other than the founders are admitted', async t => {
+  const cluster = await startGroup(['a', 'b', 'c'], ['d', 'e'], 3)
   t.deepEqual(voters(cluster), ['a', 'b', 'c', 'd', 'e'])
   t.deepEqual(cluster.violations, [])
 })
 
-// Machines are replaced by empty ones at other addresses, one after the other. If those that are gone stayed voters, the
-// quorum would grow out of reach: after three replacements five of eight voters had to be alive, and a single further loss
-// would stop every change of the configuration.
-test('a machine that is gone for good is retired after its replacement was admitted', async t => {
-  const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 5)
+// Guards against a quorum that becomes unreachable as replaced replicas remain voters.
+test('a lost replica is removed after its replacement was admitted', async t => {
+  const cluster = await startGroup(['a', 'b', 'c'], ['d', 'e'], 5)
   for (const [gone, fresh] of [['a', 'f'], ['b', 'g'], ['d', 'h']]) {
     cluster.crash(gone)
     await cluster.clock.advance(1000)
@@ -40,10 +38,9 @@
   t.deepEqual(cluster.violations, [])
 })
 
-// A machine that was cut off for longer than it takes to retire it comes back with its disk. It holds itself for a voter,
-// hears no leader, and nobody votes for it: it must ask to be admitted again.
-test('a machine that was retired while it was cut off comes back', async t => {
-  const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 7)
+// The removed replica still believes it is a voter, receives no appends and gets no votes.
+test('a replica that was removed during a partition joins again', async t => {
+  const cluster = await startGroup(['a', 'b', 'c'], ['d', 'e'], 7)
   cluster.network.isolated.add('b')
   await cluster.clock.advance(30_000)
   t.deepEqual(voters(cluster), ['a', 'c', 'd', 'e'])
@@ -53,29 +50,24 @@
   t.deepEqual(cluster.violations, [])
 })
 
-// Half of the voters are silent because a cable broke, not because they are gone: those that remain are too few to be safe
-// without them, and none is retired.
-test('no voter is retired while another one is silent', async t => {
-  const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 9)
+test('no voter is removed while another one is unresponsive', async t => {
+  const cluster = await startGroup(['a', 'b', 'c'], ['d', 'e'], 9)
   for (const name of ['a', 'b']) cluster.network.isolated.add(name)
   await cluster.clock.advance(40_000)
   t.is(voters(cluster).length, 5)
   t.deepEqual(cluster.violations, [])
 })
 
-// A wiped machine restarts beside seeds that are wiped as well, after the fleet was started long ago: if it founded a group,
-// the fleet would have two histories.
-test('a replica that may not found waits for its group', async t => {
+// Guards against a second group with a diverging history after all founders lost their disks.
+test('a replica that may not bootstrap waits for its group', async t => {
   const cluster = new virtual.VirtualCluster(['a', 'b', 'c'], 11, 20, true)
   for (const name of ['a', 'b', 'c']) await cluster.start(name, false)
   await cluster.clock.advance(20_000)
   t.is(cluster.leader(), undefined)
 })
 
-// An operator is told that a change is accepted; every replica is killed and starts again. What was committed is known to each
-// replica from its own disk, before any leader is elected.
-test('a restarted replica knows what was committed before there is a leader', async t => {
-  const cluster = await found(['a', 'b', 'c'], [], 13)
+test('a restarted replica applies committed entries before a leader is elected', async t => {
+  const cluster = await startGroup(['a', 'b', 'c'], [], 13)
   for (let i = 0; i < 5; i++) {
     cluster.propose(`change-${i}`)
     await cluster.clock.advance(500)
@@ -87,10 +79,9 @@
   for (const name of cluster.names) t.is(cluster.applied(name).length, 5)
 })
 
-// A leader's machine freezes, another one leads and takes changes, and the first one wakes up with its clock as it was: by the
-// clock its lease still holds. A read must not be answered with what it knew before.
-test('a confirmation is not given by a leader that was replaced while it was frozen', async t => {
-  const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 17)
+// Guards against stale reads from a replaced leader whose lease still looks valid by its own clock.
+test('a leader that was replaced during a partition cannot confirm its leadership', async t => {
+  const cluster = await startGroup(['a', 'b', 'c'], ['d', 'e'], 17)
   const old = cluster.leader() as NonNullable<ReturnType<typeof cluster.leader>>
   cluster.network.isolated.add(old.name)
   const replica = old.process.replica as NonNullable<typeof old.process.replica>
@@ -106,10 +97,8 @@
   t.true(isConfirmed)
 })
 
-// A leader's disk fills up. It must not lead on with what it cannot write, nor take the group with it: another one leads, and
-// the replica is built anew from its disk once there is room.
-test('a leader whose disk is full steps down and comes back', async t => {
-  const cluster = await found(['a', 'b', 'c'], ['d', 'e'], 19)
+test('a leader whose disk is full steps down and can be restarted', async t => {
+  const cluster = await startGroup(['a', 'b', 'c'], ['d', 'e'], 19)
   const old = cluster.leader()?.name ?? ''
   cluster.fullDisks.add(old)
   cluster.propose('does not fit')
@@ -127,10 +116,9 @@
   t.deepEqual(cluster.violations, [])
 })
 
-// Two replicas lose what they had acknowledged and elect a leader without it; it would undo an accepted configuration at the
-// third. The check must see it at the first message, and not only where the log is cut back.
-test('a leader that contradicts what was committed is noticed', async t => {
-  const cluster = await found(['a', 'b', 'c'], [], 17)
+// The conflict must be detected at the first append, not only when the log is truncated.
+test('a leader whose log conflicts with committed entries is detected', async t => {
+  const cluster = await startGroup(['a', 'b', 'c'], [], 17)
   cluster.propose('one')
   await cluster.clock.advance(2000)
   t.deepEqual(cluster.violations, [])
--- a/packages/state/__tests__/fileStorage.test.ts
+++ b/packages/state/__tests__/fileStorage.test.ts
@@ -1,4 +1,4 @@
-/** The disk of a replica: torn tails, damage, snapshots, and restarts after many changes. */
+/** File storage of a replica: torn tails, damage, snapshots and restarts. */
 import * as fs from 'node:fs'
 import * as os from 'node:os'
 import * as path from 'node:path'
@@ -19,7 +19,7 @@
   return Array.from({ length: to - from + 1 }, (_, i) => ({ index: from + i, term: 1, body: { kind: 'command' as const, atMs: from + i, command: { text: 'x'.repeat(50 + i) } } }))
 }
 
-async function fill (folder: string, count: number): Promise<void> {
+async function writeEntries (folder: string, count: number): Promise<void> {
   const disk = await state.createFileStorage(folder)
   await disk.load()
   await disk.saveMeta(META)
@@ -34,10 +34,10 @@
   return loaded
 }
 
-test('what was written comes back', async t => {
+test('stored entries and metadata are loaded again', async t => {
   const folder = createFolder(t)
   t.deepEqual(await load(folder), { kind: 'empty' })
-  await fill(folder, 5)
+  await writeEntries(folder, 5)
   const loaded = await load(folder)
   t.is(loaded.kind, 'found')
   if (loaded.kind !== 'found') return
@@ -46,11 +46,10 @@
   t.is(loaded.tornBytes, 0)
 })
 
-// The power fails in the middle of a write. The half record was never acknowledged, so it may be cut off, and what is
-// appended next must follow the last whole record.
-test('a torn tail is cut', async t => {
+// After a power loss during a write, the next append must follow the last complete record.
+test('a torn tail is truncated', async t => {
   const folder = createFolder(t)
-  await fill(folder, 5)
+  await writeEntries(folder, 5)
   fs.appendFileSync(path.join(folder, 'log'), Buffer.from([0, 0, 0, 90, 1, 2, 3]))
   const disk = await state.createFileStorage(folder)
   const loaded = await disk.load()
@@ -61,12 +60,11 @@
   t.is(again.kind === 'found' ? again.entries.length : -1, 6)
 })
 
-// A bit flips in a record that was synced and acknowledged long ago. Cutting the log there would forget entries that
-// others count on: the replica must be treated as one that lost its disk.
+// Guards against truncating acknowledged entries after a bit flip.
 for (const [name, place] of [['the middle', 0.5], ['the last record', 0.99]] as const) {
-  test(`damage in ${name} is not taken for a torn tail`, async t => {
+  test(`damage in ${name} is not treated as a torn tail`, async t => {
     const folder = createFolder(t)
-    await fill(folder, 20)
+    await writeEntries(folder, 20)
     const file = path.join(folder, 'log')
     const bytes = fs.readFileSync(file)
     bytes[Math.floor(bytes.length * place)] ^= 0x40
@@ -75,23 +73,23 @@
   })
 }
 
-test('damaged small files are found', async t => {
+test('damaged meta and snapshot files are detected', async t => {
   for (const name of ['meta', 'snapshot']) {
     const folder = createFolder(t)
-    await fill(folder, 3)
+    await writeEntries(folder, 3)
     fs.writeFileSync(path.join(folder, name), Buffer.from('not a record'))
     t.is((await load(folder)).kind, 'damaged', name)
   }
 })
 
-test('a missing log beside a synced mark is damage', async t => {
+test('a missing log with a synced mark is damage', async t => {
   const folder = createFolder(t)
-  await fill(folder, 3)
+  await writeEntries(folder, 3)
   fs.rmSync(path.join(folder, 'log'))
   t.is((await load(folder)).kind, 'damaged')
 })
 
-test('truncating and snapshots keep the right entries', async t => {
+test('truncation and snapshots retain the right entries', async t => {
   const folder = createFolder(t)
   const disk = await state.createFileStorage(folder)
   await disk.load()
@@ -109,9 +107,8 @@
   t.is(loaded.snapshot?.lastIndex, 6)
 })
 
-// All machines lose power at once, and none knows any more what was committed until a leader is elected: for seconds every
-// entry instance is without a document. What was committed when the last entry was written is synced together with it.
-test('what was committed comes back after a power loss', async t => {
+// Guards against replicas without a commit index, and so without a document, until a leader is elected after a power loss.
+test('the commit index is synced with the next append', async t => {
   const folder = createFolder(t)
   const disk = await state.createFileStorage(folder)
   await disk.load()
@@ -128,14 +125,13 @@
   t.deepEqual(loaded.entries.map(item => item.index), [1, 2, 3, 4, 5, 6])
 })
 
-// The power goes while the log is being made shorter. Had the mark of the synced end not been lowered before, the shorter log
-// would look damaged, and the replica would give up its vote over a sound disk.
-test('a log that was to become shorter is not taken for damaged', async t => {
+// Guards against a replica that gives up its vote after a power loss while its log was being shortened.
+test('a log shortened during a power loss is not treated as damaged', async t => {
   const folder = createFolder(t)
-  await fill(folder, 8)
+  await writeEntries(folder, 8)
   const disk = await state.createFileStorage(folder)
   await disk.load()
-  // The new log cannot be written: the step after the lowered mark fails, as if the power went there.
+  // Makes the write of the new log fail, after the synced mark was lowered.
   fs.mkdirSync(path.join(folder, 'log.new'))
   await t.throwsAsync(disk.saveSnapshot({ lastIndex: 6, lastTerm: 1, lastAtMs: 6, voters: [], state: Buffer.from('s') }, 7))
   await disk.close()
@@ -144,7 +140,7 @@
   t.is((await load(folder)).kind, 'found')
 })
 
-test('entries keep their places between the notes of what was committed', async t => {
+test('entries stay at their offsets between commit records', async t => {
   const folder = createFolder(t)
   const disk = await state.createFileStorage(folder)
   await disk.load()
--- a/packages/state/__tests__/helpers/virtualCluster.ts
+++ b/packages/state/__tests__/helpers/virtualCluster.ts
@@ -1,6 +1,6 @@
 /**
- * A replica group in one process on a clock of its own: the code the processes run, with a network that loses and delays,
- * and disks that lose what was not synced when their replica crashes.
+ * A replica group in one process on virtual time, with a network that loses and delays messages, and disks that lose
+ * unsynced writes on a crash.
  */
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus'
@@ -9,7 +9,7 @@
 
 interface Timer { at: number, order: number, run: () => void }
 
-/** A clock that jumps from one timer to the next. */
+/** Virtual clock that advances from timer to timer. */
 export class VirtualClock {
   private at = 0
   private order = 0
@@ -21,7 +21,7 @@
     this.timers.push({ at: this.at + Math.max(0, ms), order: this.order++, run })
   }
 
-  /** Lets time pass; between two timers all promises settle. */
+  /** Advances the time, settling all promises between two timers. */
   async advance (ms: number): Promise<void> {
     const until = this.at + ms
     while (true) {
@@ -41,7 +41,7 @@
   await new Promise(resolve => setImmediate(resolve))
 }
 
-/** A disk that survives the crash of its replica, but for what was not synced. */
+/** A disk that keeps synced data when its replica crashes. */
 class MemoryDisk {
   meta: state.Meta | undefined
   entries: state.Entry[] = []
@@ -61,28 +61,29 @@
 
 interface Node { name: string, disk: MemoryDisk, process: Process, starts: number }
 
-/** What the cluster's network does to a message. */
-export interface Network { loss: number, delayMs: number, /** Nodes that are cut off. */ isolated: Set<string>, /** Single links that are cut, as `a b` in the order of the names. */ brokenLinks: Set<string> }
+/** Faults of the simulated network. */
+export interface Network { loss: number, delayMs: number, /** Nodes without any connection. */ isolated: Set<string>, /** Broken links between two nodes, as `a b` with sorted names. */ brokenLinks: Set<string> }
 
 /** A replica group under test. */
 export class VirtualCluster {
   readonly clock = new VirtualClock()
   readonly network: Network = { loss: 0, delayMs: 3, isolated: new Set(), brokenLinks: new Set() }
   readonly nodes = new Map<string, Node>()
-  /** Commands whose proposer was told that they are committed, in that order. */
+  /** Commands acknowledged to their proposer, in order. */
   readonly acknowledged: string[] = []
-  /** Replicas whose disk takes no more bytes. */
+  /** Replicas whose disk is full. */
   readonly fullDisks = new Set<string>()
-  /** Replicas that said that their disk failed. */
+  /** Replicas that reported a storage failure. */
   readonly failed: string[] = []
-  /** Terms with their leader; two for one term would be an error. */
+  /** Leader of each term. */
   readonly leaders = new Map<number, string>()
+  /** Violated invariants. */
   readonly violations: string[] = []
   private readonly random: () => number
 
   /**
-   * @param names the replicas that found the group
-   * @param isDynamic whether others may join later, and silent ones are retired
+   * @param names the founders of the group
+   * @param isDynamic whether other replicas may join, and unresponsive ones are removed
    */
   constructor (readonly names: string[], seed: number, readonly snapshotEvery = 20, readonly isDynamic = false) {
     const generator = xoroshiro.xoroshiro128plus(seed)
@@ -92,13 +93,13 @@
 
   node (name: string): Node { return this.nodes.get(name) as Node }
 
-  /** Adds a machine with an empty disk that is no founder. */
+  /** Adds a replica with an empty disk that is not a founder. */
   async add (name: string): Promise<void> {
     this.nodes.set(name, { name, disk: new MemoryDisk(), process: { isDead: true, replica: undefined, applied: [] }, starts: 0 })
     await this.start(name)
   }
 
-  async start (name: string, mayFound = true): Promise<void> {
+  async start (name: string, canBootstrap = true): Promise<void> {
     const node = this.node(name)
     const process: Process = { isDead: false, replica: undefined, applied: [] }
     node.process = process
@@ -112,11 +113,11 @@
       group: 'test',
       name,
       founderNames: this.names,
-      canBootstrap: mayFound,
+      canBootstrap,
       isDynamic: this.isDynamic,
-      storage: this.toStorage(node, process),
+      storage: this.createStorage(node, process),
       transport: { call: async (to, msg) => await this.call(name, process, to, msg) },
-      stateMachine: this.toMachine(process),
+      stateMachine: this.createStateMachine(process),
       clock: {
         now: () => this.clock.now(),
         wallNow: () => this.clock.now(),
@@ -148,17 +149,17 @@
     return [...this.nodes.values()].find(node => node.process.replica?.isReady() === true)
   }
 
-  /** Notes who leads which term. */
+  /** Records the leader of each term, and violations of leader uniqueness. */
   checkLeaders (): void {
     for (const node of this.nodes.values()) {
       const status = node.process.replica?.status()
       if (status?.role !== 'leader') continue
       const known = this.leaders.get(status.term)
-      if (known !== undefined && known !== node.name) this.violations.push(`term ${status.term} is led by ${known} and ${node.name}`)
+      if (known !== undefined && known !== node.name) this.violations.push(`term ${status.term} has two leaders: ${known} and ${node.name}`)
       this.leaders.set(status.term, node.name)
     }
     const ready = [...this.nodes.values()].filter(node => node.process.replica?.isReady() === true)
-    if (ready.length > 1) this.violations.push(`two leaders hold a lease: ${ready.map(node => node.name).join(', ')}`)
+    if (ready.length > 1) this.violations.push(`two leaders have a valid lease: ${ready.map(node => node.name).join(', ')}`)
   }
 
   propose (command: string): void {
@@ -168,7 +169,7 @@
 
   applied (name: string): string[] { return this.node(name).process.applied }
 
-  private toMachine (process: Process): state.Machine {
+  private createStateMachine (process: Process): state.Machine {
     return {
       apply: command => { process.applied.push(command as string) },
       save: () => Buffer.from(JSON.stringify(process.applied)),
@@ -176,10 +177,10 @@
     }
   }
 
-  private toStorage (node: Node, process: Process): state.Storage {
+  private createStorage (node: Node, process: Process): state.Storage {
     let queue: Promise<void> = Promise.resolve()
     const { disk } = node
-    // A write reaches the disk after a while; a crash before that loses it.
+    // A write is synced after a delay; a crash before that loses it.
     const write = async (apply: () => void): Promise<void> => {
       const turn = queue.then(async () => {
         await new Promise<void>(resolve => { this.clock.schedule(1 + this.random() * 8, resolve) })
@@ -213,26 +214,26 @@
   private async call (from: string, caller: Process, to: string, msg: state.Rpc): Promise<state.RpcReply> {
     return await new Promise((resolve, reject) => {
       const isLost = (): boolean => this.random() < this.network.loss || this.network.isolated.has(from) || this.network.isolated.has(to) || this.network.brokenLinks.has([from, to].sort().join(' '))
-      const fail = (): void => { this.clock.schedule(300, () => { if (!caller.isDead) reject(new Error('no reply')) }) }
+      const failCall = (): void => { this.clock.schedule(300, () => { if (!caller.isDead) reject(new Error('no reply')) }) }
       if (isLost()) {
-        fail()
+        failCall()
         return
       }
       const copy = structuredClone(msg)
-      this.clock.schedule(this.toDelay(), () => {
+      this.clock.schedule(this.randomDelayMs(), () => {
         const target = this.node(to).process
         const handled = target.replica?.handle(copy)
         if (handled === undefined) {
-          fail()
+          failCall()
           return
         }
         handled.then(reply => {
-          if (target.isDead || isLost()) fail()
-          else this.clock.schedule(this.toDelay(), () => { if (!caller.isDead) resolve(structuredClone(reply)) })
-        }, fail)
+          if (target.isDead || isLost()) failCall()
+          else this.clock.schedule(this.randomDelayMs(), () => { if (!caller.isDead) resolve(structuredClone(reply)) })
+        }, failCall)
       })
     })
   }
 
-  private toDelay (): number { return this.network.delayMs * (0.5 + 2 * this.random()) }
+  private randomDelayMs (): number { return this.network.delayMs * (0.5 + 2 * this.random()) }
 }
--- a/packages/state/__tests__/machines.test.ts
+++ b/packages/state/__tests__/machines.test.ts
@@ -1,4 +1,4 @@
-/** The ledger and the fleet's state, command by command. */
+/** State machines of the ledger and of the fleet. */
 import * as ava from 'ava'
 import type * as contracts from '@kingcupdeck/contracts'
 import * as state from '../src/index.js'
@@ -11,7 +11,7 @@
   return ledger.apply({ t: 'begin', account: 'a', key, attempt: `${key}-1`, keyMs, hash: 'h', retentionMs: DAY, ...more }, { index: 1, atMs }) as contracts.LedgerKeyState
 }
 
-test('a repeat gets the same answer', t => {
+test('a repeated key gets the stored answer', t => {
   const ledger = state.createLedgerMachine()
   const answer = { status: 200, contentType: 'text/plain', body: Buffer.from('ok') }
   t.is(begin(ledger, 'k', 1000, 1000).kind, 'begun')
@@ -22,8 +22,8 @@
   t.is(begin(ledger, 'k', 1000, 1300, { account: 'b' }).kind, 'begun')
 })
 
-// A caller sends an old call again after its record was evicted. A ledger that then takes it for a new call runs it twice.
-test('a key older than the retention is refused, never new', t => {
+// Guards against running a call again after its record was evicted.
+test('a key older than the retention is rejected as expired', t => {
   const ledger = state.createLedgerMachine()
   t.is(begin(ledger, 'k', 1000, 1000).kind, 'begun')
   t.is(begin(ledger, 'k', 1000, 1000 + DAY + 1, { attempt: 'later' }).kind, 'expired')
@@ -32,19 +32,19 @@
   t.is(begin(ledger, 'k', 1000, 3 * DAY, { attempt: 'later' }).kind, 'expired')
 })
 
-// An operator lengthens the retention. Records forgotten under the shorter one must not become new calls.
-test('a longer retention does not bring forgotten keys back', t => {
+// Guards against running a call again whose record was evicted under a shorter retention.
+test('lengthening the retention does not make evicted keys valid again', t => {
   const ledger = state.createLedgerMachine()
   begin(ledger, 'k', HOUR, HOUR, { retentionMs: HOUR })
   begin(ledger, 'x', 9 * HOUR, 9 * HOUR, { retentionMs: HOUR })
   t.is(begin(ledger, 'k', HOUR, 9 * HOUR, { retentionMs: 30 * DAY, attempt: 'later' }).kind, 'expired')
 })
 
-test('a key from the future is refused', t => {
+test('a key too far in the future is rejected', t => {
   t.is(begin(state.createLedgerMachine(), 'k', DAY, 1000).kind, 'ahead')
 })
 
-test('only the attempt that began may abort', t => {
+test('only the attempt that began a request can abort it', t => {
   const ledger = state.createLedgerMachine()
   begin(ledger, 'k', 1000, 1000)
   ledger.apply({ t: 'abort', account: 'a', key: 'k', attempt: 'other' }, { index: 2, atMs: 1001 })
@@ -53,7 +53,7 @@
   t.is(begin(ledger, 'k', 1000, 1004, { attempt: 'other' }).kind, 'begun')
 })
 
-test('a ledger survives its snapshot', t => {
+test('a ledger is restored from its snapshot', t => {
   const ledger = state.createLedgerMachine()
   begin(ledger, 'old', 1000, 1000)
   begin(ledger, 'k', 2 * DAY, 2 * DAY)
@@ -69,8 +69,8 @@
   return fleet.apply({ t: 'put', operator: 'o', operation, baseVersion, document: doc(title) } satisfies state.FleetCommand, { index: 1, atMs: 1 }) as state.FleetResult
 }
 
-// Two operators start from the same version. Without compare-and-set the slower one would silently undo the faster.
-test('of two operators with equal numbers one wins', t => {
+// Guards against a lost update between concurrent operators.
+test('of two documents with the same base version only the first is accepted', t => {
   const fleet = state.createFleetMachine()
   t.deepEqual(put(fleet, 'first', 0, 'a'), { t: 'put', version: 1 })
   t.deepEqual(put(fleet, 'left', 1, 'b'), { t: 'put', version: 2 })
@@ -78,8 +78,7 @@
   t.is(fleet.document()?.zones.z.title, 'b')
 })
 
-// The answer to a change is lost and the operator sends it again, while another change went in between.
-test('a resend after a lost answer gets the first answer', t => {
+test('a resent operation gets its first result, also after a later change', t => {
   const fleet = state.createFleetMachine()
   put(fleet, 'first', 0, 'a')
   put(fleet, 'second', 1, 'b')
@@ -87,7 +86,7 @@
   t.is(fleet.document()?.zones.z.title, 'b')
 })
 
-test('documents travel as differences where these are known', t => {
+test('document updates are deltas while these are retained, otherwise full documents', t => {
   const fleet = state.createFleetMachine()
   for (let i = 0; i < 210; i++) put(fleet, `op-${i}`, i, `t${i}`)
   t.is(fleet.documentUpdate(210), undefined)
@@ -98,7 +97,7 @@
 
 const instance = (id: string, boot: string): contracts.Instance => ({ id, boot, incarnation: 0, zone: 'z', peer: '127.0.0.1:1', url: 'http://127.0.0.1:2', leaving: false })
 
-test('a resent join gets the same incarnation, a restarted process does not', t => {
+test('a resent join gets the same incarnation, a join of a restarted process does not', t => {
   const fleet = state.createFleetMachine()
   const join = (boot: string): state.FleetResult => fleet.apply({ t: 'join', instance: instance('r1', boot) } satisfies state.FleetCommand, { index: 1, atMs: 1 }) as state.FleetResult
   t.deepEqual(join('one'), { t: 'joined', incarnation: 1 })
@@ -107,7 +106,7 @@
   t.is(fleet.view(), 1)
 })
 
-test('a newcomer can rebuild the views that laggards may act on', t => {
+test('a new instance can reconstruct the views that laggards may act on', t => {
   const fleet = state.createFleetMachine()
   for (const id of ['r1', 'r2', 'r3']) fleet.apply({ t: 'join', instance: instance(id, id) } satisfies state.FleetCommand, { index: 1, atMs: 1 })
   fleet.apply({ t: 'left', id: 'r1', incarnation: 1 } satisfies state.FleetCommand, { index: 1, atMs: 1 })
--- a/packages/state/__tests__/replicaSchedules.test.ts
+++ b/packages/state/__tests__/replicaSchedules.test.ts
@@ -1,4 +1,4 @@
-/** The replicated log over many seeded schedules of loss, delay, crashes, partitions and lost disks. */
+/** The replicated log under seeded schedules of message loss, delay, crashes, partitions and lost disks. */
 import * as ava from 'ava'
 import * as fc from 'fast-check'
 import type * as state from '../src/index.js'
@@ -7,21 +7,21 @@
 const test = ava.default
 const RUNS = 40
 
-type Fault = { at: number, kind: 'crash' | 'cut' | 'wipe' | 'noise', target: number, lastMs: number }
+type Fault = { at: number, kind: 'crash' | 'isolate' | 'wipe' | 'noise', target: number, durationMs: number }
 
 const faults = fc.array(fc.record({
   at: fc.integer({ min: 3000, max: 40_000 }),
-  kind: fc.constantFrom('crash' as const, 'cut' as const, 'wipe' as const, 'noise' as const),
+  kind: fc.constantFrom('crash' as const, 'isolate' as const, 'wipe' as const, 'noise' as const),
   target: fc.integer({ min: 0, max: 4 }),
-  lastMs: fc.integer({ min: 200, max: 9000 })
+  durationMs: fc.integer({ min: 200, max: 9000 })
 }), { minLength: 3, maxLength: 14 })
 
-/** Replicas that are down, cut off or not yet repaired; the group must survive a minority of them. */
+/** Runs a fault plan, with faults on at most a minority of the replicas at a time. */
 async function runPlan (size: number, seed: number, plan: Fault[]): Promise<virtual.VirtualCluster> {
   const cluster = new virtual.VirtualCluster(Array.from({ length: size }, (_, i) => `n${i}`), seed)
   for (const name of cluster.names) await cluster.start(name)
-  const ending = new Map<string, { at: number, end: () => Promise<void> }>()
-  const isWhole = (): boolean => {
+  const activeFaults = new Map<string, { at: number, end: () => Promise<void> }>()
+  const isComplete = (): boolean => {
     const status = cluster.leader()?.process.replica?.status()
     return status !== undefined && status.voters.length === size && status.learners.length === 0 && status.voters.every(id => cluster.isUp(id.split('#')[0]))
   }
@@ -30,28 +30,28 @@
     await cluster.clock.advance(100)
     cluster.checkLeaders()
     if (at % 300 === 0) cluster.propose(`cmd-${n++}`)
-    for (const [name, item] of ending) {
+    for (const [name, item] of activeFaults) {
       if (item.at > at) continue
-      ending.delete(name)
+      activeFaults.delete(name)
       await item.end()
     }
     while (queue.length > 0 && queue[0].at <= at) {
       const fault = queue.shift() as Fault
       const name = cluster.names[fault.target % size]
-      const isBearable = ending.size < Math.floor((size - 1) / 2) && !ending.has(name)
-      // A second disk is lost only once the first repair is done: that is what the repair promises.
-      if (!isBearable || (fault.kind === 'wipe' && !isWhole())) continue
-      ending.set(name, { at: at + fault.lastMs, end: begin(cluster, name, fault) })
+      const isTolerated = activeFaults.size < Math.floor((size - 1) / 2) && !activeFaults.has(name)
+      // A further disk is lost only after the previous membership change is complete.
+      if (!isTolerated || (fault.kind === 'wipe' && !isComplete())) continue
+      activeFaults.set(name, { at: at + fault.durationMs, end: injectFault(cluster, name, fault) })
     }
   }
-  for (const item of ending.values()) await item.end()
+  for (const item of activeFaults.values()) await item.end()
   cluster.network.loss = 0
   await cluster.clock.advance(25_000)
   cluster.checkLeaders()
   return cluster
 }
 
-function begin (cluster: virtual.VirtualCluster, name: string, fault: Fault): () => Promise<void> {
+function injectFault (cluster: virtual.VirtualCluster, name: string, fault: Fault): () => Promise<void> {
   switch (fault.kind) {
     case 'crash':
       cluster.crash(name)
@@ -59,7 +59,7 @@
     case 'wipe':
       cluster.wipe(name)
       return async () => { await cluster.start(name) }
-    case 'cut':
+    case 'isolate':
       cluster.network.isolated.add(name)
       return async () => { cluster.network.isolated.delete(name) }
     case 'noise':
@@ -72,28 +72,26 @@
   }
 }
 
-function check (t: ava.ExecutionContext, cluster: virtual.VirtualCluster): void {
+function checkHistory (t: ava.ExecutionContext, cluster: virtual.VirtualCluster): void {
   t.deepEqual(cluster.violations, [])
   t.true(cluster.acknowledged.length > 20, `only ${cluster.acknowledged.length} commands were acknowledged`)
   const longest = cluster.names.map(name => cluster.applied(name)).sort((a, b) => b.length - a.length)[0]
-  for (const name of cluster.names) t.deepEqual(cluster.applied(name), longest, `${name} holds another history`)
-  const held = new Set(longest)
-  t.deepEqual(cluster.acknowledged.filter(command => !held.has(command)), [], 'an acknowledged command is lost')
-  t.is(held.size, longest.length, 'a command was applied twice')
+  for (const name of cluster.names) t.deepEqual(cluster.applied(name), longest, `${name} has applied a different history`)
+  const appliedCommands = new Set(longest)
+  t.deepEqual(cluster.acknowledged.filter(command => !appliedCommands.has(command)), [], 'an acknowledged command is lost')
+  t.is(appliedCommands.size, longest.length, 'a command was applied twice')
 }
 
-// An operator is told "accepted", and later the change is gone. It takes a leader whose entry a quorum holds, a crash or a
-// lost disk among that quorum, and an election that the forgetful one takes part in.
+// Guards against losing an acknowledged command by elections after crashes and lost disks.
 for (const size of [3, 5]) {
-  test(`nothing acknowledged is lost, ${size} replicas`, async t => {
+  test(`no acknowledged command is lost with ${size} replicas`, async t => {
     await fc.assert(fc.asyncProperty(faults, fc.integer({ min: 1, max: 1e6 }), async (plan, seed) => {
-      check(t, await runPlan(size, seed, plan))
+      checkHistory(t, await runPlan(size, seed, plan))
     }), { seed: 20261203, numRuns: RUNS, endOnFailure: true })
   })
 }
 
-// A replica whose disk was lost comes back empty under its old name. If it voted, it could elect a leader that lacks
-// entries which the lost disk had acknowledged. Order: commit on A and B, wipe B, isolate A, let B and C vote.
+// Guards against electing a leader that lacks entries which the lost disk had acknowledged.
 test('a replica that lost its disk does not vote', async t => {
   const cluster = new virtual.VirtualCluster(['a', 'b', 'c'], 11)
   for (const name of cluster.names) await cluster.start(name)
@@ -110,7 +108,7 @@
   cluster.network.isolated.delete(behind)
   await cluster.start(witness)
   await cluster.clock.advance(20_000)
-  t.is(cluster.leader(), undefined, 'the wiped replica helped to elect a leader without the entry')
+  t.is(cluster.leader(), undefined, 'the wiped replica voted for a leader without the entry')
   cluster.network.isolated.delete(first)
   await cluster.clock.advance(20_000)
   t.true(cluster.applied(cluster.leader()?.name ?? '').includes('precious'))
@@ -118,8 +116,7 @@
   t.deepEqual(cluster.violations, [])
 })
 
-// "A second instance lost right after a repair": the repaired one must count again before the second is lost.
-test('a second disk may be lost right after a repair', async t => {
+test('a second disk may be lost right after the first replica was admitted again', async t => {
   const cluster = new virtual.VirtualCluster(['a', 'b', 'c'], 5)
   for (const name of cluster.names) await cluster.start(name)
   await cluster.clock.advance(6000)
@@ -145,9 +142,8 @@
   t.deepEqual(cluster.violations, [])
 })
 
-// A leader is cut off silently and goes on believing. Operators who reach only it must not be told that a change is in
-// force: it may answer only while its lease lasts.
-test('an isolated leader stops answering by itself', async t => {
+// Guards against stale answers from an isolated leader after its lease expired.
+test('an isolated leader stops being ready and steps down', async t => {
   const cluster = new virtual.VirtualCluster(['a', 'b', 'c'], 3)
   for (const name of cluster.names) await cluster.start(name)
   await cluster.clock.advance(6000)
@@ -162,9 +158,8 @@
   t.deepEqual(cluster.violations, [])
 })
 
-// One link breaks, between the leader and one follower. That follower stands for election, and the other one, which hears
-// the leader well, could elect it: then two leaders would hold a lease at once.
-test('a follower that hears its leader elects nobody else', async t => {
+// Guards against two valid leases when only the link between the leader and one follower fails.
+test('a follower in contact with the leader votes for no other candidate', async t => {
   const cluster = new virtual.VirtualCluster(['a', 'b', 'c'], 8)
   for (const name of cluster.names) await cluster.start(name)
   await cluster.clock.advance(6000)
@@ -179,9 +174,8 @@
   t.deepEqual(cluster.violations, [])
 })
 
-// A leader repeats an append because the first answer took too long. The repeat finds the entries in memory already; its
-// answer must wait for the disk all the same, or a crash would lose what the leader counts as held.
-test('a repeated append is answered only when the first is synced', async t => {
+// Guards against acknowledging entries that are in memory but not yet synced.
+test('a repeated append is acknowledged only after the first is synced', async t => {
   const cluster = new virtual.VirtualCluster(['a', 'b', 'c'], 2)
   for (const name of cluster.names) await cluster.start(name)
   await cluster.clock.advance(6000)
--- a/packages/state/src/clock.ts
+++ b/packages/state/src/clock.ts
@@ -1,17 +1,15 @@
-/** Time as the replica sees it, so that seeded tests can run the same code on a clock of their own. */
+/** Clock of a replica, injected so that seeded tests can run on virtual time. */
 import * as timers from 'node:timers/promises'
 
-/** A source of time and waiting. */
 export interface Clock {
-  /** @returns milliseconds that never go back and go on through a freeze of the process */
+  /** @returns monotonic milliseconds, which keep advancing while the process is suspended */
   now (): number
   /** @returns wall-clock milliseconds since 1970 */
   wallNow (): number
-  /** Waits. */
   sleep (ms: number): Promise<void>
 }
 
-/** The machine's clock. */
+/** Clock of the operating system. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wallNow: () => Date.now(),
--- a/packages/state/src/entries.ts
+++ b/packages/state/src/entries.ts
@@ -1,22 +1,17 @@
-/** What stands in the replicated log, and what travels between the replicas of a group. */
+/** Schemas of log entries, replica metadata, snapshots and the calls between the replicas of a group. */
 import * as z from 'zod'
 import * as contracts from '@kingcupdeck/contracts'
 
-/** A replica: its name from the settings, and the incarnation it drew when its data folder was new. */
+/** A replica: its name from the settings, and the incarnation generated for its data folder. */
 export const member = z.object({ name: z.string(), incarnation: z.string() })
-/** A replica of a group. */
 export type Member = z.infer<typeof member>
 
-/**
- * The text form of a member, which votes and acknowledgements are counted by.
- * @param who the member
- * @returns name and incarnation
- */
-export function toMemberId (who: Member): string {
-  return `${who.name}#${who.incarnation}`
+/** Returns the id that votes and acknowledgements are counted by: `<name>#<incarnation>`. */
+export function toMemberId (replica: Member): string {
+  return `${replica.name}#${replica.incarnation}`
 }
 
-/** One entry of the log. */
+/** An entry of the replicated log. */
 export const entry = z.object({
   index: z.int().positive(),
   term: z.int().nonnegative(),
@@ -26,21 +21,19 @@
     z.object({ kind: z.literal('command'), atMs: z.number(), command: z.unknown() })
   ])
 })
-/** One entry of the log. */
 export type Entry = z.infer<typeof entry>
 
-/** What a replica must remember beside its log. */
+/** Durable metadata of a replica, stored beside its log. */
 export const meta = z.object({
   incarnation: z.string(),
   term: z.int().nonnegative(),
   votedFor: z.string().nullable(),
-  /** The voters that the group was founded with; null while this replica is not part of a group. */
+  /** Voters that the group was bootstrapped with; null while this replica is not part of a group. */
   founding: z.array(member).nullable()
 })
-/** What a replica must remember beside its log. */
 export type Meta = z.infer<typeof meta>
 
-/** The state of the machine after some entry, with what is needed to go on from there. */
+/** State of the state machine after `lastIndex`, with the log position to continue from. */
 export const snapshot = z.object({
   lastIndex: z.int().nonnegative(),
   lastTerm: z.int().nonnegative(),
@@ -48,12 +41,11 @@
   voters: z.array(member),
   state: contracts.bytes
 })
-/** The state of the machine after some entry. */
 export type Snapshot = z.infer<typeof snapshot>
 
 const ballot = { term: z.int(), candidate: member, lastIndex: z.int(), lastTerm: z.int(), isTransfer: z.boolean() }
 
-/** What a replica asks another. */
+/** Calls between replicas. */
 export const rpc = z.discriminatedUnion('t', [
   z.object({ t: z.literal('hello'), from: member }),
   z.object({ t: z.literal('join'), from: member }),
@@ -63,10 +55,9 @@
   z.object({ t: z.literal('snapshot'), term: z.int(), leader: member, lastIndex: z.int(), lastTerm: z.int(), lastAtMs: z.number(), voters: z.array(member), offset: z.int(), total: z.int(), data: contracts.bytes }),
   z.object({ t: z.literal('takeOver'), term: z.int(), leader: member })
 ])
-/** What a replica asks another. */
 export type Rpc = z.infer<typeof rpc>
 
-/** What a replica answers; always with who it is, since a wiped replica is another member under the same name. */
+/** Replies. `from` identifies the incarnation, since a replica with a wiped disk is a new member under the same name. */
 export const rpcReply = z.discriminatedUnion('t', [
   z.object({ t: z.literal('hello'), from: member, founding: z.array(member).nullable() }),
   z.object({ t: z.literal('join'), from: member, leader: z.string().nullable(), isVoter: z.boolean() }),
@@ -74,5 +65,4 @@
   z.object({ t: z.literal('append'), from: member, term: z.int(), isOk: z.boolean(), match: z.int(), tryNext: z.int() }),
   z.object({ t: z.literal('takeOver'), from: member })
 ])
-/** What a replica answers. */
 export type RpcReply = z.infer<typeof rpcReply>
--- a/packages/state/src/fileStorage.ts
+++ b/packages/state/src/fileStorage.ts
@@ -1,6 +1,6 @@
 /**
- * The disk of a replica as files in one folder: `meta`, `snapshot`, `log` and `synced`. Each record of the log carries a
- * CRC. Small files are replaced by writing beside, syncing, renaming and syncing the folder.
+ * File-based storage of a replica, one folder with the files `meta`, `snapshot`, `log`, `synced` and `committed`. Records
+ * are framed with their length and a CRC.
  */
 import * as fs from 'node:fs/promises'
 import * as path from 'node:path'
@@ -13,11 +13,7 @@
 const HEADER_BYTES = 8
 const codec = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
 
-/**
- * Encodes a record: length, CRC, payload.
- * @param value what to store
- * @returns the record's bytes
- */
+/** Encodes a record: payload length, CRC, payload. */
 export function encodeRecord (value: unknown): Buffer {
   const payload = codec.encode(value)
   const out = Buffer.allocUnsafe(HEADER_BYTES + payload.length)
@@ -27,14 +23,10 @@
   return out
 }
 
-/** The records at the start of a file that are whole, and how many bytes they take. */
+/** The leading intact records of a file: their values, end offsets, and total size. */
 export interface DecodedRecords { values: unknown[], ends: number[], validBytes: number }
 
-/**
- * Reads records up to the first that is not whole.
- * @param bytes a file's content
- * @returns the records and the end of the last good one
- */
+/** Decodes records up to the first truncated or corrupt one. */
 export function decodeRecords (bytes: Buffer): DecodedRecords {
   const values: unknown[] = []
   const ends: number[] = []
@@ -53,148 +45,145 @@
 }
 
 /**
- * Opens the folder of a replica.
- * @param folder where the files live; made if absent
- * @returns the storage
+ * Opens the storage of a replica.
+ * @param folder data folder; created if missing
  */
 export async function createFileStorage (folder: string): Promise<storage.Storage> {
   await fs.mkdir(folder, { recursive: true })
-  const file = (name: string) => path.join(folder, name)
-  let log = await fs.open(file('log'), 'a+')
-  let marker = await fs.open(file('synced'), 'a').then(async handle => { await handle.close(); return await fs.open(file('synced'), 'r+') })
+  const toPath = (name: string) => path.join(folder, name)
+  let log = await fs.open(toPath('log'), 'a+')
+  let syncedFile = await fs.open(toPath('synced'), 'a').then(async handle => { await handle.close(); return await fs.open(toPath('synced'), 'r+') })
   let ends: Array<{ index: number, end: number }> = []
   let size = 0
   let queue: Promise<unknown> = Promise.resolve()
-  let committed = 0
-  let isNoting = false
+  let commitIndex = 0
+  let isCommitWriteQueued = false
 
-  const inOrder = async <T>(work: () => Promise<T>): Promise<T> => {
+  const enqueue = async <T>(work: () => Promise<T>): Promise<T> => {
     const turn = queue.then(work)
     queue = turn.catch(() => {})
     return await turn
   }
 
-  const end = (): number => ends.at(-1)?.end ?? 0
+  const logEnd = (): number => ends.at(-1)?.end ?? 0
 
-  // Guards against taking damage for a torn tail. The mark is written after the sync it speaks of and is not synced
-  // itself, so it may be too low after a power loss but is never too high: a log whose good records end below it lost
-  // entries that this replica had acknowledged.
-  const mark = async (): Promise<void> => {
-    const content = encodeRecord(end())
-    await marker.write(content, 0, content.length, 0)
+  // Distinguishes damage from a torn tail. The mark is written after the log is synced and is not synced itself, so after a power
+  // loss it may be too low but never too high: a log that is valid only below it has lost acknowledged entries.
+  const writeSyncedMark = async (): Promise<void> => {
+    const content = encodeRecord(logEnd())
+    await syncedFile.write(content, 0, content.length, 0)
   }
 
-  // Guards against a good log that is taken for damaged: when the log is about to become shorter, the lower mark must be on
-  // the disk first. Otherwise a power loss may keep the shorter log and the older, higher mark, and every replica that
-  // lost power at that moment would give up its vote.
-  const lowerMark = async (end: number): Promise<void> => {
+  // Guards against treating an intact log as damaged: before the log is shortened, the lower mark must be synced. Otherwise
+  // a power loss may leave the shorter log with the previous, higher mark.
+  const lowerSyncedMark = async (end: number): Promise<void> => {
     const content = encodeRecord(end)
-    await marker.write(content, 0, content.length, 0)
-    await marker.datasync()
+    await syncedFile.write(content, 0, content.length, 0)
+    await syncedFile.datasync()
   }
 
   const rewriteLog = async (kept: readonly entries.Entry[]): Promise<void> => {
-    const records = [...kept.map(encodeRecord), encodeRecord(committed)]
-    await lowerMark(0)
+    const records = [...kept.map(encodeRecord), encodeRecord(commitIndex)]
+    await lowerSyncedMark(0)
     await replaceFiles.replaceFile(folder, 'log', Buffer.concat(records))
     await log.close()
-    log = await fs.open(file('log'), 'a+')
+    log = await fs.open(toPath('log'), 'a+')
     let at = 0
     ends = kept.map((item, i) => ({ index: item.index, end: (at += records[i].length) }))
     size = at + records[records.length - 1].length
-    await mark()
+    await writeSyncedMark()
   }
 
-  const readOne = async (name: string): Promise<unknown> => {
-    const bytes = await fs.readFile(file(name)).catch(() => undefined)
+  const readSingleRecord = async (name: string): Promise<unknown> => {
+    const bytes = await fs.readFile(toPath(name)).catch(() => undefined)
     if (bytes === undefined) return undefined
-    const { values, validBytes: goodBytes } = decodeRecords(bytes)
-    if (values.length !== 1 || goodBytes !== bytes.length) throw new Error(`${name} is damaged`)
+    const { values, validBytes } = decodeRecords(bytes)
+    if (values.length !== 1 || validBytes !== bytes.length) throw new Error(`file ${name} is damaged: ${validBytes} of ${bytes.length} bytes are valid`)
     return values[0]
   }
 
   const readLog = async (): Promise<entries.Entry[]> => {
-    const { values } = decodeRecords(await fs.readFile(file('log')))
+    const { values } = decodeRecords(await fs.readFile(toPath('log')))
     return values.filter(isEntry).map(value => entries.entry.parse(value))
   }
 
   const load = async (): Promise<storage.LoadResult> => {
-    const bytes = await fs.readFile(file('log'))
+    const bytes = await fs.readFile(toPath('log'))
     const records = decodeRecords(bytes)
-    const { values, validBytes: goodBytes } = records
+    const { values, validBytes } = records
     try {
-      const rawMeta = await readOne('meta')
-      const rawSnapshot = await readOne('snapshot')
+      const rawMeta = await readSingleRecord('meta')
+      const rawSnapshot = await readSingleRecord('snapshot')
       if (rawMeta === undefined) {
-        if (bytes.length > 0 || rawSnapshot !== undefined) return { kind: 'damaged', detail: 'meta is missing beside a log' }
+        if (bytes.length > 0 || rawSnapshot !== undefined) return { kind: 'damaged', detail: 'file meta is missing, but a log or snapshot exists' }
         return { kind: 'empty' }
       }
       const list = values.filter(isEntry).map(value => entries.entry.parse(value))
-      // Beside entries the log holds numbers: how far entries were committed when the next ones were written.
-      const notes = values.filter(value => typeof value === 'number')
-      const synced = decodeRecords(await fs.readFile(file('synced'))).values[0]
-      if (typeof synced === 'number' && goodBytes < synced) return { kind: 'damaged', detail: `log is good up to byte ${goodBytes} of ${synced} synced` }
+      // Besides entries the log contains numbers: the commit index at the time of the next append.
+      const commitRecords = values.filter(value => typeof value === 'number')
+      const synced = decodeRecords(await fs.readFile(toPath('synced'))).values[0]
+      if (typeof synced === 'number' && validBytes < synced) return { kind: 'damaged', detail: `log is valid up to byte ${validBytes}, but was synced up to byte ${synced}` }
       const snapshot = rawSnapshot === undefined ? undefined : entries.snapshot.parse(rawSnapshot)
       const detail = findGap(list, snapshot)
       if (detail !== undefined) return { kind: 'damaged', detail }
-      const tornBytes = bytes.length - goodBytes
-      if (tornBytes > 0) await log.truncate(goodBytes)
+      const tornBytes = bytes.length - validBytes
+      if (tornBytes > 0) await log.truncate(validBytes)
       const entryEnds = records.ends.filter((end, i) => isEntry(values[i]))
       ends = list.map((item, i) => ({ index: item.index, end: entryEnds[i] }))
-      size = goodBytes
-      const note = decodeRecords(await fs.readFile(file('committed')).catch(() => Buffer.alloc(0))).values[0]
-      committed = Math.max(0, ...notes, typeof note === 'number' ? note : 0)
-      return { kind: 'found', meta: entries.meta.parse(rawMeta), snapshot, entries: list, tornBytes, commitIndex: committed }
+      size = validBytes
+      const latestCommit = decodeRecords(await fs.readFile(toPath('committed')).catch(() => Buffer.alloc(0))).values[0]
+      commitIndex = Math.max(0, ...commitRecords, typeof latestCommit === 'number' ? latestCommit : 0)
+      return { kind: 'found', meta: entries.meta.parse(rawMeta), snapshot, entries: list, tornBytes, commitIndex }
     } catch (err) {
       return { kind: 'damaged', detail: err instanceof Error ? err.message : String(err) }
     }
   }
 
   return {
-    load: async () => await inOrder(load),
+    load: async () => await enqueue(load),
     wipe: async () => {
-      await inOrder(async () => {
+      await enqueue(async () => {
         await log.close()
-        await marker.close()
-        for (const name of ['log', 'meta', 'snapshot', 'synced', 'committed']) await fs.rm(file(name), { force: true })
+        await syncedFile.close()
+        for (const name of ['log', 'meta', 'snapshot', 'synced', 'committed']) await fs.rm(toPath(name), { force: true })
         await replaceFiles.syncFolder(folder)
-        log = await fs.open(file('log'), 'a+')
-        marker = await fs.open(file('synced'), 'w+')
+        log = await fs.open(toPath('log'), 'a+')
+        syncedFile = await fs.open(toPath('synced'), 'w+')
         ends = []
         size = 0
-        committed = 0
+        commitIndex = 0
       })
     },
-    saveMeta: async meta => { await inOrder(async () => { await replaceFiles.replaceFile(folder, 'meta', encodeRecord(meta)) }) },
+    saveMeta: async meta => { await enqueue(async () => { await replaceFiles.replaceFile(folder, 'meta', encodeRecord(meta)) }) },
     append: async list => {
       const records = list.map(encodeRecord)
       const indexes = list.map(item => item.index)
-      await inOrder(async () => {
-        // Synced together with the entries: after a power loss this much is known to be committed.
-        const note = encodeRecord(committed)
-        await log.appendFile(Buffer.concat([note, ...records]))
+      await enqueue(async () => {
+        // Synced together with the entries, so that the commit index survives a power loss.
+        const commitRecord = encodeRecord(commitIndex)
+        await log.appendFile(Buffer.concat([commitRecord, ...records]))
         await log.datasync()
-        let at = size + note.length
+        let at = size + commitRecord.length
         records.forEach((record, i) => ends.push({ index: indexes[i], end: (at += record.length) }))
         size = at
-        await mark()
+        await writeSyncedMark()
       })
     },
     saveCommitIndex (index) {
-      committed = index
-      if (isNoting) return
-      isNoting = true
-      // Written in the order of the log, so that it never speaks of an entry that is not there yet. A note that cannot be
-      // written is only an older note.
-      inOrder(async () => {
-        isNoting = false
-        await fs.writeFile(file('committed'), encodeRecord(committed))
+      commitIndex = index
+      if (isCommitWriteQueued) return
+      isCommitWriteQueued = true
+      // Queued behind the log writes, so that it never refers to an unwritten entry. A failed write leaves a lower index,
+      // which is safe.
+      enqueue(async () => {
+        isCommitWriteQueued = false
+        await fs.writeFile(toPath('committed'), encodeRecord(commitIndex))
       }).catch(() => {})
     },
     truncateFrom: async index => {
-      await inOrder(async () => {
+      await enqueue(async () => {
         const kept = ends.filter(item => item.index < index)
-        await lowerMark(kept.at(-1)?.end ?? 0)
+        await lowerSyncedMark(kept.at(-1)?.end ?? 0)
         size = kept.at(-1)?.end ?? 0
         await log.truncate(size)
         await log.datasync()
@@ -202,16 +191,16 @@
       })
     },
     saveSnapshot: async (snapshot, keepFrom) => {
-      await inOrder(async () => {
+      await enqueue(async () => {
         await replaceFiles.replaceFile(folder, 'snapshot', encodeRecord(snapshot))
         const list = await readLog()
         await rewriteLog(list.filter(item => item.index >= keepFrom))
       })
     },
     close: async () => {
-      await inOrder(async () => {
+      await enqueue(async () => {
         await log.close()
-        await marker.close()
+        await syncedFile.close()
       })
     }
   }
@@ -223,9 +212,9 @@
 
 function findGap (list: readonly entries.Entry[], snapshot: entries.Snapshot | undefined): string | undefined {
   const first = list[0]
-  if (first !== undefined && first.index > (snapshot?.lastIndex ?? 0) + 1) return `log begins at ${first.index}, behind the snapshot at ${snapshot?.lastIndex ?? 0}`
+  if (first !== undefined && first.index > (snapshot?.lastIndex ?? 0) + 1) return `gap in the log: the first entry is ${first.index}, but the snapshot ends at ${snapshot?.lastIndex ?? 0}`
   for (let i = 1; i < list.length; i++) {
-    if (list[i].index !== list[i - 1].index + 1) return `log jumps from ${list[i - 1].index} to ${list[i].index}`
+    if (list[i].index !== list[i - 1].index + 1) return `gap in the log: entry ${list[i - 1].index} is followed by ${list[i].index}`
   }
   return undefined
 }
--- a/packages/state/src/fleetMachine.ts
+++ b/packages/state/src/fleetMachine.ts
@@ -1,29 +1,28 @@
 /**
- * The replicated state of the fleet: the configuration document with its history, and the view of instances.
- * A document is taken only by compare-and-set on the version it was based on, so racing operators cannot undo each other,
- * and with an operation id, so that a resend after a lost answer gets the first answer.
+ * State machine of the fleet: the configuration document with its history, and the fleet view. Documents are accepted by
+ * compare-and-set on their base version, so that concurrent operators cannot overwrite each other, and with an operation
+ * id, so that a resend is idempotent.
  */
 import * as cbor from 'cbor-x'
 import * as z from 'zod'
 import * as contracts from '@kingcupdeck/contracts'
 import * as replicaOptions from './replicaOptions.js'
 
-const HISTORY_ITEMS = 1000
-const OPERATIONS = 2000
-const DELTAS = 200
-const VIEW_CHANGES = 400
+const MAX_HISTORY_ITEMS = 1000
+const MAX_OPERATIONS = 2000
+const MAX_DELTAS = 200
+const MAX_VIEW_CHANGES = 400
 
-/** A command of the fleet's machine. */
+/** Commands of the fleet state machine. */
 export const fleetCommand = z.discriminatedUnion('t', [
   z.object({ t: z.literal('put'), operator: z.string(), operation: z.string(), baseVersion: z.int(), document: z.unknown() }),
   z.object({ t: z.literal('join'), instance: contracts.instance }),
   z.object({ t: z.literal('left'), id: z.string(), incarnation: z.int() }),
   z.object({ t: z.literal('leaving'), id: z.string(), incarnation: z.int() })
 ])
-/** A command of the fleet's machine. */
 export type FleetCommand = z.infer<typeof fleetCommand>
 
-/** What a command gave. */
+/** Results of the commands. */
 export type FleetResult =
   | { t: 'put', version: number }
   | { t: 'conflict', currentVersion: number }
@@ -44,28 +43,24 @@
   viewChanges: contracts.ViewChange[]
 }
 
-/** The fleet's machine, with what readers need of its state. */
+/** The fleet state machine with read access to its state. */
 export interface FleetMachine extends replicaOptions.StateMachine {
   version (): number
   document (): contracts.Document | null
   history (): readonly contracts.HistoryItem[]
-  /** @returns what brings a holder of `from` up to date, or undefined if it is */
+  /** @returns the delta from version `from`, or the full document when the delta is not retained; undefined when up to date or without a document */
   documentUpdate (from: number): contracts.DocumentUpdate | undefined
   view (): number
   instances (): readonly contracts.Instance[]
   find (id: string): contracts.Instance | undefined
-  /** @returns what brings a holder of view `from` up to date */
+  /** @returns the changes since view `from`, or a base view with changes when they are not retained */
   viewUpdate (from: number, laggards: contracts.ViewUpdate['laggards']): contracts.ViewUpdate
 }
 
 const codec = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
 
-/**
- * Creates the fleet's machine.
- * @param onChange told of each change that was applied
- * @returns the machine, empty
- */
-export function createFleetMachine (onChange: (what: 'document' | 'view') => void = () => {}): FleetMachine {
+/** @param onChange called after each applied change */
+export function createFleetMachine (onChange: (changed: 'document' | 'view') => void = () => {}): FleetMachine {
   let state: State = { version: 0, document: null, history: [], operations: [], deltas: [], view: 0, instances: [], viewChanges: [] }
 
   const put = (cmd: Extract<FleetCommand, { t: 'put' }>, atMs: number): FleetResult => {
@@ -76,25 +71,25 @@
     const changes = state.document === null ? [] : contracts.diffDocuments(state.document, next)
     state.version++
     state.document = next
-    state.history = [...state.history, { version: state.version, operator: cmd.operator, operation: cmd.operation, atMs, changes: changes.length }].slice(-HISTORY_ITEMS)
-    state.operations = [...state.operations, { id: `${cmd.operator}/${cmd.operation}`, version: state.version }].slice(-OPERATIONS)
-    state.deltas = [...state.deltas, { version: state.version, changes }].slice(-DELTAS)
+    state.history = [...state.history, { version: state.version, operator: cmd.operator, operation: cmd.operation, atMs, changes: changes.length }].slice(-MAX_HISTORY_ITEMS)
+    state.operations = [...state.operations, { id: `${cmd.operator}/${cmd.operation}`, version: state.version }].slice(-MAX_OPERATIONS)
+    state.deltas = [...state.deltas, { version: state.version, changes }].slice(-MAX_DELTAS)
     onChange('document')
     return { t: 'put', version: state.version }
   }
 
-  const step = (kind: contracts.ViewChange['kind'], instance: contracts.Instance): void => {
+  const recordViewChange = (kind: contracts.ViewChange['kind'], instance: contracts.Instance): void => {
     state.view++
-    state.viewChanges = [...state.viewChanges, { number: state.view, kind, instance }].slice(-VIEW_CHANGES)
+    state.viewChanges = [...state.viewChanges, { number: state.view, kind, instance }].slice(-MAX_VIEW_CHANGES)
     onChange('view')
   }
 
-  const join = (asked: contracts.Instance): FleetResult => {
-    const known = state.instances.find(item => item.id === asked.id)
-    if (known !== undefined) return { t: 'joined', incarnation: known.boot === asked.boot ? known.incarnation : 0 }
-    const instance = { ...asked, incarnation: state.view + 1, leaving: false }
+  const join = (requested: contracts.Instance): FleetResult => {
+    const known = state.instances.find(item => item.id === requested.id)
+    if (known !== undefined) return { t: 'joined', incarnation: known.boot === requested.boot ? known.incarnation : 0 }
+    const instance = { ...requested, incarnation: state.view + 1, leaving: false }
     state.instances = [...state.instances, instance]
-    step('joined', instance)
+    recordViewChange('joined', instance)
     return { t: 'joined', incarnation: instance.incarnation }
   }
 
@@ -102,7 +97,7 @@
     const known = state.instances.find(item => item.id === id && item.incarnation === incarnation)
     if (known === undefined) return { t: 'done' }
     state.instances = state.instances.filter(item => item !== known)
-    step('left', known)
+    recordViewChange('left', known)
     return { t: 'done' }
   }
 
@@ -111,7 +106,7 @@
     if (known === undefined || known.leaving) return { t: 'done' }
     const instance = { ...known, leaving: true }
     state.instances = state.instances.map(item => item === known ? instance : item)
-    step('leaving', instance)
+    recordViewChange('leaving', instance)
     return { t: 'done' }
   }
 
@@ -145,19 +140,19 @@
     instances: () => state.instances,
     find: id => state.instances.find(item => item.id === id),
     viewUpdate (from, laggards) {
-      const oldestHeld = state.viewChanges[0]?.number ?? state.view + 1
-      if (from > 0 && from + 1 >= oldestHeld) {
+      const oldestRetained = state.viewChanges[0]?.number ?? state.view + 1
+      if (from > 0 && from + 1 >= oldestRetained) {
         return { number: state.view, changes: state.viewChanges.filter(item => item.number > from), laggards }
       }
-      // A newcomer gets an older view with the steps since, so that it can tell who owned an endpoint before.
-      const oldestNeeded = Math.min(state.view, ...laggards.map(item => Math.max(item.seen, oldestHeld - 1)))
-      const { instances, changes } = rewind(state, oldestNeeded)
-      return { number: state.view, base: { number: oldestNeeded, instances }, changes, laggards }
+      // Includes the views that laggards may still act on, so that the receiver can determine their endpoint owners.
+      const baseNumber = Math.min(state.view, ...laggards.map(item => Math.max(item.seen, oldestRetained - 1)))
+      const { instances, changes } = rewind(state, baseNumber)
+      return { number: state.view, base: { number: baseNumber, instances }, changes, laggards }
     }
   }
 }
 
-/** Undoes the latest view changes, to get the instances of an earlier view. */
+/** Reverts the latest view changes, to reconstruct the instances of an earlier view. */
 function rewind (state: State, to: number): { instances: contracts.Instance[], changes: contracts.ViewChange[] } {
   const changes = state.viewChanges.filter(item => item.number > to)
   let instances = [...state.instances]
--- a/packages/state/src/index.ts
+++ b/packages/state/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of the state: the replicated log and the machines on it. */
+/** Public API of the state package: the replicated log, its storage and its state machines. */
 export * from './clock.js'
 export * from './entries.js'
 export * from './fileStorage.js'
--- a/packages/state/src/ledgerMachine.ts
+++ b/packages/state/src/ledgerMachine.ts
@@ -1,25 +1,25 @@
 /**
- * The replicated ledger of non-idempotent requests: what was started, and how it ended. A key is forgotten only after it
- * became too old to be taken again, both judged by the time in the log, so a late resend can never look like a new call.
+ * State machine of the ledger of non-idempotent requests: which were started, and their answers. Keys are evicted and
+ * expire by the same log time, so a late resend is rejected as expired and never runs again.
  */
 import * as cbor from 'cbor-x'
 import * as z from 'zod'
 import * as contracts from '@kingcupdeck/contracts'
 import * as replicaOptions from './replicaOptions.js'
 
-/** Keys from further ahead than this are refused: a clock is wrong, and they would be kept for too long. */
-const MAX_AHEAD_MS = 10 * 60 * 1000
+/** Tolerated clock skew. Keys further in the future are rejected, since they would be retained too long. */
+const MAX_CLOCK_SKEW_MS = 10 * 60 * 1000
+const MS_PER_HOUR = 3600000
 const BUCKET_MS = 60 * 1000
 
 const key = { account: z.string(), key: z.string(), attempt: z.string() }
 
-/** A command of the ledger. */
+/** Commands of the ledger. */
 export const ledgerCommand = z.discriminatedUnion('t', [
   z.object({ t: z.literal('begin'), ...key, keyMs: z.number(), hash: z.string(), retentionMs: z.number() }),
   z.object({ t: z.literal('finish'), ...key, answer: contracts.storedAnswer.nullable() }),
   z.object({ t: z.literal('abort'), ...key })
 ])
-/** A command of the ledger. */
 export type LedgerCommand = z.infer<typeof ledgerCommand>
 
 interface Row {
@@ -32,25 +32,20 @@
 
 interface State { nowMs: number, forgottenBeforeMs: number, rows: Array<[string, Row]> }
 
-/** The ledger's machine. */
 export interface LedgerMachine extends replicaOptions.StateMachine {
-  /** @returns how many keys are held */
+  /** @returns the number of retained keys */
   size (): number
 }
 
 const codec = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
 
-/**
- * Creates a ledger.
- * @returns the machine, empty
- */
 export function createLedgerMachine (): LedgerMachine {
   let nowMs = 0
   let forgottenBeforeMs = 0
   let rows = new Map<string, Row>()
   let buckets = new Map<number, Set<string>>()
 
-  const hold = (id: string, row: Row): void => {
+  const addRow = (id: string, row: Row): void => {
     rows.set(id, row)
     const bucket = Math.floor(row.keyMs / BUCKET_MS)
     const ids = buckets.get(bucket) ?? new Set()
@@ -58,7 +53,7 @@
     buckets.set(bucket, ids)
   }
 
-  const drop = (id: string): void => {
+  const removeRow = (id: string): void => {
     const row = rows.get(id)
     if (row === undefined) return
     rows.delete(id)
@@ -66,7 +61,7 @@
     buckets.get(bucket)?.delete(id)
   }
 
-  const forgetOld = (): void => {
+  const evictExpired = (): void => {
     for (const [bucket, ids] of buckets) {
       if ((bucket + 1) * BUCKET_MS > forgottenBeforeMs) continue
       for (const id of ids) rows.delete(id)
@@ -75,21 +70,21 @@
   }
 
   const begin = (cmd: Extract<LedgerCommand, { t: 'begin' }>): contracts.LedgerKeyState => {
-    // Guards against running a call again after its record was evicted: the line up to which keys may be forgotten only
-    // moves forward, and every key behind it is refused, also after the retention was made longer.
+    // Guards against running a call again after its record was evicted: the eviction threshold never decreases, also when
+    // the retention is lengthened, and older keys are rejected.
     forgottenBeforeMs = Math.max(forgottenBeforeMs, nowMs - cmd.retentionMs)
-    forgetOld()
-    if (cmd.keyMs < forgottenBeforeMs) return { kind: 'expired', retentionHours: cmd.retentionMs / 3600000 }
-    if (cmd.keyMs > nowMs + MAX_AHEAD_MS) return { kind: 'ahead' }
+    evictExpired()
+    if (cmd.keyMs < forgottenBeforeMs) return { kind: 'expired', retentionHours: cmd.retentionMs / MS_PER_HOUR }
+    if (cmd.keyMs > nowMs + MAX_CLOCK_SKEW_MS) return { kind: 'ahead' }
     const id = toId(cmd)
     const row = rows.get(id)
     if (row === undefined) {
-      hold(id, { hash: cmd.hash, attempt: cmd.attempt, keyMs: cmd.keyMs, startedAt: nowMs, finished: null })
+      addRow(id, { hash: cmd.hash, attempt: cmd.attempt, keyMs: cmd.keyMs, startedAt: nowMs, finished: null })
       return { kind: 'begun' }
     }
     if (row.hash !== cmd.hash) return { kind: 'reused' }
     if (row.finished !== null) return { kind: 'finished', finishedAt: row.finished.at, answer: row.finished.answer }
-    // The same attempt asks again only after its answer from here was lost: it has not dispatched anything yet.
+    // The same attempt calls again only when the reply was lost, so it has not dispatched the request yet.
     if (row.attempt === cmd.attempt) return { kind: 'begun' }
     return { kind: 'started', attempt: row.attempt, startedAt: row.startedAt }
   }
@@ -106,7 +101,7 @@
           if (row?.attempt === cmd.attempt && row.finished === null) row.finished = { at: nowMs, answer: cmd.answer }
           return { kind: 'begun' }
         case 'abort':
-          if (row?.attempt === cmd.attempt && row.finished === null) drop(id)
+          if (row?.attempt === cmd.attempt && row.finished === null) removeRow(id)
           return { kind: 'begun' }
       }
     },
@@ -117,7 +112,7 @@
       forgottenBeforeMs = state.forgottenBeforeMs
       rows = new Map()
       buckets = new Map()
-      for (const [id, row] of state.rows) hold(id, row)
+      for (const [id, row] of state.rows) addRow(id, row)
     },
     size: () => rows.size
   }
--- a/packages/state/src/membershipChanges.ts
+++ b/packages/state/src/membershipChanges.ts
@@ -1,100 +1,96 @@
 /**
- * Re-admission of replicas: a learner is fed until it has caught up, becomes a voter by a committed entry, and only then
- * is the member that it replaces removed, by a second one. So a repair that is called done has its redundancy back, and a
- * further loss right after it is survived.
+ * Membership changes, one voter at a time. A learner replicates the log until it has caught up and is then committed as a
+ * voter; only afterwards is the member that it replaces removed. So the group tolerates another loss right after the change.
  */
 import * as entries from './entries.js'
 import * as replicaCore from './replicaCore.js'
 import * as replication from './replication.js'
 
-/** A learner that is this close to the end of the log counts as caught up. */
-const CAUGHT_UP_ENTRIES = 16
+/** Number of entries that a caught-up learner may lag behind the commit index. */
+const CAUGHT_UP_LAG_ENTRIES = 16
 
 /**
- * Takes a request for admission.
- * @param core the replica that was asked
- * @param from who wants to be admitted
- * @returns whether it is a voter already, and who leads
+ * Handles a join request; the leader adds the requester as a learner.
+ * @returns whether the requester is a voter, and the known leader
  */
 export function onJoinRequest (core: replicaCore.Core, from: entries.Member): entries.RpcReply {
   const id = entries.toMemberId(from)
-  const isVoter = core.voters().some(who => entries.toMemberId(who) === id)
+  const isVoter = core.voters().some(voter => entries.toMemberId(voter) === id)
   if (core.role.kind === 'leader' && !isVoter && (core.opts.isDynamic === true || core.opts.founderNames.includes(from.name))) {
-    forgetEarlierIncarnations(core.role.lead, from)
-    core.role.lead.learners.set(id, from)
-    replication.replicateToPeers(core, core.role.lead)
+    removeEarlierIncarnations(core.role.leadership, from)
+    core.role.leadership.learners.set(id, from)
+    replication.replicateToPeers(core, core.role.leadership)
   }
   return { t: 'join', from: core.self(), leader: core.leader, isVoter }
 }
 
-/** A replica that was wiped again while it was a learner will not come back as the member it was. */
-function forgetEarlierIncarnations (lead: replicaCore.Leadership, from: entries.Member): void {
-  for (const [id, member] of lead.learners) {
+/** Removes learners whose disk was wiped: they never return under their former incarnation. */
+function removeEarlierIncarnations (leadership: replicaCore.Leadership, from: entries.Member): void {
+  for (const [id, member] of leadership.learners) {
     if (member.name !== from.name || member.incarnation === from.incarnation) continue
-    lead.learners.delete(id)
-    lead.peers.delete(id)
+    leadership.learners.delete(id)
+    leadership.peers.delete(id)
   }
 }
 
 /**
- * Admits learners one at a time for as long as a leadership lasts.
- * @param core the replica
- * @param lead its leadership
+ * Performs pending membership changes one at a time while the leadership lasts.
  * @param commitVoters appends a membership entry and waits for its commit
  */
-export async function runMembershipChanges (core: replicaCore.Core, lead: replicaCore.Leadership, commitVoters: (voters: entries.Member[]) => Promise<void>): Promise<void> {
-  while (replication.isLeading(core, lead)) {
+export async function runMembershipChanges (core: replicaCore.Core, leadership: replicaCore.Leadership, commitVoters: (voters: entries.Member[]) => Promise<void>): Promise<void> {
+  while (replication.isLeading(core, leadership)) {
     await core.opts.clock.sleep(core.timing.heartbeatMs)
-    if (!core.isReady() || !isSettled(core)) continue
-    const step = findStep(core, lead)
-    if (step === undefined) continue
-    await commitVoters(step.voters).catch(() => {})
-    if (step.kind === 'admit') lead.learners.delete(entries.toMemberId(step.member))
-    if (step.kind === 'retire' && replication.isLeading(core, lead)) {
-      lead.peers.delete(entries.toMemberId(step.member))
-      core.opts.log.event('replicaRepaired', { group: core.opts.group, replica: step.member.name })
+    if (!core.isReady() || !isLastChangeCommitted(core)) continue
+    const change = findChange(core, leadership)
+    if (change === undefined) continue
+    await commitVoters(change.voters).catch(() => {})
+    if (change.kind === 'admit') leadership.learners.delete(entries.toMemberId(change.member))
+    if (change.kind === 'remove' && replication.isLeading(core, leadership)) {
+      leadership.peers.delete(entries.toMemberId(change.member))
+      core.opts.log.event('replicaRepaired', { group: core.opts.group, replica: change.member.name })
     }
   }
 }
 
-/** Two membership changes in flight could have quorums that do not meet. */
-function isSettled (core: replicaCore.Core): boolean {
+/** Guards against two uncommitted membership changes, whose quorums might not overlap. */
+function isLastChangeCommitted (core: replicaCore.Core): boolean {
   return (core.log.membership()?.index ?? 0) <= core.commitIndex
 }
 
 /**
- * A voter that stays silent for this long is taken for gone for good: longer than a restart, a freeze or a cut that heals
- * by itself. A voter that returns later asks for admission like a new one.
+ * Time after which an unresponsive voter is removed; longer than restarts, suspensions and short partitions. A voter that
+ * returns later joins like a new one.
  */
-const RETIRE_SILENT_MS = 12_000
-/** The others must have answered within this time before a silent voter is retired. */
-const LIVE_MS = 1500
+const REMOVE_UNRESPONSIVE_MS = 12_000
+/** All other voters must have replied within this time before an unresponsive one is removed. */
+const RESPONSIVE_MS = 1500
+const DEFAULT_MIN_VOTERS = 3
 
-/** Guards against quorums that grow out of reach as machines are replaced by new ones at other addresses. */
-function findSilent (core: replicaCore.Core, lead: replicaCore.Leadership): entries.Member | undefined {
+/** Guards against a quorum that becomes unreachable as hosts are replaced by new ones with other names. */
+function findUnresponsive (core: replicaCore.Core, leadership: replicaCore.Leadership): entries.Member | undefined {
   const now = core.opts.clock.now()
   const voters = core.voters()
-  if (now - lead.startedAt < RETIRE_SILENT_MS || voters.length <= (core.opts.minVoters ?? 3)) return undefined
-  const others = voters.filter(who => entries.toMemberId(who) !== core.selfId())
-  const silentMs = (who: entries.Member): number => now - (lead.peers.get(entries.toMemberId(who))?.lastAckedSentAt ?? -Infinity)
-  const silent = others.find(who => silentMs(who) > RETIRE_SILENT_MS)
-  if (silent === undefined || others.some(who => who !== silent && silentMs(who) > LIVE_MS)) return undefined
-  return silent
+  if (now - leadership.startedAt < REMOVE_UNRESPONSIVE_MS || voters.length <= (core.opts.minVoters ?? DEFAULT_MIN_VOTERS)) return undefined
+  const others = voters.filter(voter => entries.toMemberId(voter) !== core.selfId())
+  const unresponsiveMs = (voter: entries.Member): number => now - (leadership.peers.get(entries.toMemberId(voter))?.lastAckedSentAt ?? -Infinity)
+  const unresponsive = others.find(voter => unresponsiveMs(voter) > REMOVE_UNRESPONSIVE_MS)
+  if (unresponsive === undefined || others.some(voter => voter !== unresponsive && unresponsiveMs(voter) > RESPONSIVE_MS)) return undefined
+  return unresponsive
 }
 
-type Step =
+type Change =
   | { kind: 'admit', member: entries.Member, voters: entries.Member[] }
-  | { kind: 'retire', member: entries.Member, voters: entries.Member[] }
+  | { kind: 'remove', member: entries.Member, voters: entries.Member[] }
 
-function findStep (core: replicaCore.Core, lead: replicaCore.Leadership): Step | undefined {
+function findChange (core: replicaCore.Core, leadership: replicaCore.Leadership): Change | undefined {
   const voters = core.voters()
-  const replaced = voters.find((who, i) => voters.findIndex((other, j) => j > i && other.name === who.name) >= 0)
-  if (replaced !== undefined) return { kind: 'retire', member: replaced, voters: voters.filter(who => who !== replaced) }
-  const silent = core.opts.isDynamic === true ? findSilent(core, lead) : undefined
-  if (silent !== undefined) return { kind: 'retire', member: silent, voters: voters.filter(who => who !== silent) }
-  for (const [id, member] of lead.learners) {
-    const progress = lead.peers.get(id)
-    const isCaughtUp = progress !== undefined && progress.matchIndex >= lead.termStartIndex && progress.matchIndex + CAUGHT_UP_ENTRIES >= core.commitIndex
+  const replaced = voters.find((voter, i) => voters.findIndex((other, j) => j > i && other.name === voter.name) >= 0)
+  if (replaced !== undefined) return { kind: 'remove', member: replaced, voters: voters.filter(voter => voter !== replaced) }
+  const unresponsive = core.opts.isDynamic === true ? findUnresponsive(core, leadership) : undefined
+  if (unresponsive !== undefined) return { kind: 'remove', member: unresponsive, voters: voters.filter(voter => voter !== unresponsive) }
+  for (const [id, member] of leadership.learners) {
+    const progress = leadership.peers.get(id)
+    const isCaughtUp = progress !== undefined && progress.matchIndex >= leadership.termStartIndex && progress.matchIndex + CAUGHT_UP_LAG_ENTRIES >= core.commitIndex
     if (isCaughtUp) return { kind: 'admit', member, voters: [...voters, member] }
   }
   return undefined
--- a/packages/state/src/memoryLog.ts
+++ b/packages/state/src/memoryLog.ts
@@ -1,32 +1,27 @@
-/** The log as a replica holds it in memory: the entries behind the last one that was compacted away. */
+/** In-memory copy of the replicated log after its compacted prefix. */
 import * as entries from './entries.js'
 
-/** The log in memory. */
 export interface MemoryLog {
-  /** Index and term of the last entry that was compacted away; 0 and 0 before any. */
+  /** @returns index and term of the last compacted entry; zeros before the first compaction */
   base (): { index: number, term: number }
   lastIndex (): number
   lastTerm (): number
-  /** @returns the term of an entry, or undefined where it is not held */
+  /** @returns the term of an entry; undefined when it is compacted or beyond the end */
   termAt (index: number): number | undefined
-  /** @returns the entry, or undefined where it is not held */
+  /** @returns undefined when the entry is compacted or beyond the end */
   at (index: number): entries.Entry | undefined
-  /** @returns entries from an index on, bounded in number */
-  from (index: number, most: number): entries.Entry[]
+  /** @returns at most `limit` entries, starting at the index */
+  from (index: number, limit: number): entries.Entry[]
   append (list: readonly entries.Entry[]): void
   truncateFrom (index: number): void
-  /** Forgets entries up to and with this index, which must be held. */
+  /** Removes the entries up to and including this index. @throws Error when the entry is not in the log */
   compactTo (index: number): void
-  /** Starts anew behind a snapshot. */
+  /** Removes all entries and continues after the given position. */
   reset (index: number, term: number): void
-  /** @returns the voters of the latest membership entry held, and its index; undefined if none is held */
+  /** @returns index and voters of the latest membership entry; undefined when the log contains none */
   membership (): { index: number, voters: entries.Member[] } | undefined
 }
 
-/**
- * Creates an empty log.
- * @returns the log
- */
 export function createMemoryLog (): MemoryLog {
   let baseIndex = 0
   let baseTerm = 0
@@ -41,10 +36,10 @@
     lastTerm: () => list.at(-1)?.term ?? baseTerm,
     termAt,
     at,
-    from: (index, most) => list.slice(index - baseIndex - 1, index - baseIndex - 1 + most),
-    append (more) {
-      for (const item of more) {
-        if (item.index !== lastIndex() + 1) throw new Error(`log gap: ${item.index} behind ${lastIndex()}`)
+    from: (index, limit) => list.slice(index - baseIndex - 1, index - baseIndex - 1 + limit),
+    append (added) {
+      for (const item of added) {
+        if (item.index !== lastIndex() + 1) throw new Error(`log gap: appending entry ${item.index} after ${lastIndex()}`)
         list.push(item)
         if (item.body.kind === 'membership') memberships.push({ index: item.index, voters: item.body.voters })
       }
@@ -55,7 +50,7 @@
     },
     compactTo (index) {
       const term = termAt(index)
-      if (term === undefined) throw new Error(`cannot compact to ${index}`)
+      if (term === undefined) throw new Error(`cannot compact to entry ${index}: not in the log`)
       list = list.slice(index - baseIndex)
       baseIndex = index
       baseTerm = term
--- a/packages/state/src/replaceFile.ts
+++ b/packages/state/src/replaceFile.ts
@@ -1,31 +1,26 @@
-/** Small files that are there whole after a loss of power, the old one or the new one. */
+/** Atomic, durable replacement of small files. */
 import * as fs from 'node:fs/promises'
 import * as path from 'node:path'
 
 /**
- * Replaces a file: writes beside it, syncs, renames, and syncs the folder, without which the rename may be lost.
- * @param folder where the file lies
- * @param name its name
- * @param content its new content
- * @throws Error when the disk takes no more or fails
+ * Replaces a file atomically: writes a temporary file, syncs it, renames it and syncs the folder. After a power loss either
+ * the old or the new content is found.
+ * @throws Error when the disk is full or fails
  */
 export async function replaceFile (folder: string, name: string, content: string | Buffer): Promise<void> {
-  const beside = path.join(folder, `${name}.new`)
-  const handle = await fs.open(beside, 'w')
+  const tempFile = path.join(folder, `${name}.new`)
+  const handle = await fs.open(tempFile, 'w')
   try {
     await handle.writeFile(content)
     await handle.sync()
   } finally {
     await handle.close()
   }
-  await fs.rename(beside, path.join(folder, name))
+  await fs.rename(tempFile, path.join(folder, name))
   await syncFolder(folder)
 }
 
-/**
- * Makes the names in a folder last: files that were created, renamed or removed.
- * @param folder the folder
- */
+/** Syncs a folder, which makes created, renamed and removed files durable. */
 export async function syncFolder (folder: string): Promise<void> {
   const handle = await fs.open(folder, 'r')
   await handle.sync().finally(async () => { await handle.close() })
--- a/packages/state/src/replica.ts
+++ b/packages/state/src/replica.ts
@@ -1,6 +1,6 @@
 /**
- * One replica of a group: a replicated log with a state machine on top. Own work, after the published descriptions of
- * leader-based replicated logs; docs/STATE.md gives the rules and the failure each guards against.
+ * A replica of a group: a leader-based replicated log that drives a state machine. docs/STATE.md lists the rules and the
+ * failure that each guards against.
  */
 import * as entries from './entries.js'
 import * as election from './election.js'
@@ -10,53 +10,47 @@
 import * as replicaOptions from './replicaOptions.js'
 import * as replication from './replication.js'
 
-/** How a replica stands, for operators. */
+/** Status of a replica, for operators. */
 export interface ReplicaStatus { group: string, name: string, role: string, term: number, commit: number, leader: string | null, voters: string[], learners: string[] }
 
-/** How often a waiting confirmation looks for the acknowledgements of its round. */
-const CONFIRM_LOOK_MS = 3
+/** Interval at which a pending confirmation checks for acknowledgements. */
+const CONFIRM_POLL_MS = 3
 
-/** One replica of a group. */
 export interface Replica {
-  /** Answers another replica. */
+  /** Handles a call of another replica. */
   handle (msg: entries.Rpc): Promise<entries.RpcReply>
   /**
    * Appends a command and waits until it is committed and applied.
-   * @returns what the machine gave
-   * @throws ProposalError
+   * @returns the result of the state machine
+   * @throws ProposalError when this replica is not the leader or loses leadership before the commit
    */
   propose (command: unknown): Promise<unknown>
   /**
-   * Confirms by a round to a quorum, begun after the call, that this replica still leads. What the machine holds then is
-   * no older than anything acknowledged before the call, whatever froze or jumped: no clock is trusted.
-   * @param timeoutMs how long to wait for the round
-   * @throws ProposalError when this replica does not lead or the round does not end in time
+   * Confirms leadership by a quorum round that starts after the call, for linearizable reads. Unlike the lease, it
+   * stays correct when a clock jumps or the process is suspended.
+   * @throws ProposalError when this replica is not the leader or no quorum replies within the timeout
    */
   confirmLeadership (timeoutMs: number): Promise<void>
-  /** @returns whether this replica leads, has applied all that was committed before, and its lease lasts */
+  /** @returns whether this replica is the leader, has applied all entries of earlier terms, and its lease is valid */
   isReady (): boolean
   leaderName (): string | null
-  /** @returns when the group was last known to be alive here: a quorum heard as leader, or the leader heard as voter */
+  /** @returns monotonic time of the last contact: as leader with a quorum, as voter with the leader; otherwise -Infinity */
   lastContactAt (): number
   status (): ReplicaStatus
-  /** Hands leadership to the replica that is furthest, if this one leads, then ends all tasks. */
+  /** Transfers leadership to the most up-to-date voter, if this replica is the leader, then stops. */
   stop (): Promise<void>
 }
 
-/**
- * Reads the data folder and starts a replica's tasks.
- * @param opts what the replica is built from
- * @returns the replica
- */
+/** Loads a replica from its storage and starts its tasks. */
 export async function createReplica (opts: replicaOptions.ReplicaOptions): Promise<Replica> {
   const core = replicaCore.createCore(opts)
-  const inbox: replication.SnapshotAssembly = { lastIndex: 0, lastTerm: 0, parts: [], bytes: 0 }
+  const assembly: replication.SnapshotAssembly = { lastIndex: 0, lastTerm: 0, chunks: [], bytes: 0 }
   let isFlushing = false
 
   await bootstrap.loadReplica(core)
   core.lastContactOrStartAt = opts.clock.now()
 
-  /** Writes the leader's own entries, many proposals in one sync. */
+  /** Persists the leader's appended entries; proposals that arrive during a sync share the next one. */
   const flush = async (): Promise<void> => {
     if (isFlushing) return
     isFlushing = true
@@ -76,37 +70,37 @@
     const { role } = core
     if (role.kind !== 'leader') throw new replicaOptions.ProposalError('notLeader', core.leader)
     const index = core.log.lastIndex() + 1
-    const outcome = new Promise((resolve, reject) => { role.lead.pendingProposals.set(index, { resolve, reject }) })
-    core.log.append([{ index, term: role.lead.term, body }])
-    for (const peer of role.lead.peers.values()) peer.wake()
+    const outcome = new Promise((resolve, reject) => { role.leadership.pendingProposals.set(index, { resolve, reject }) })
+    core.log.append([{ index, term: role.leadership.term, body }])
+    for (const peer of role.leadership.peers.values()) peer.wake()
     void flush()
     return await outcome
   }
 
-  const lead = async (): Promise<void> => {
+  const onElected = async (): Promise<void> => {
     const leadership = replication.becomeLeader(core)
     void replication.watchLease(core, leadership)
     void membershipChanges.runMembershipChanges(core, leadership, async voters => {
-      const done = appendAsLeader({ kind: 'membership', voters })
+      const committed = appendAsLeader({ kind: 'membership', voters })
       replication.replicateToPeers(core, leadership)
-      await done
+      await committed
     })
     await flush()
   }
 
   void bootstrap.runJoining(core).catch(core.fail)
-  void election.runElections(core, lead).catch(core.fail)
+  void election.runElections(core, onElected).catch(core.fail)
 
-  const handOver = async (): Promise<void> => {
+  const transferLeadership = async (): Promise<void> => {
     const { role } = core
     if (role.kind !== 'leader') return
-    const furthest = [...role.lead.peers.values()]
-      .filter(peer => core.voters().some(who => entries.toMemberId(who) === entries.toMemberId(peer.member)))
+    const successor = [...role.leadership.peers.values()]
+      .filter(peer => core.voters().some(voter => entries.toMemberId(voter) === entries.toMemberId(peer.member)))
       .sort((a, b) => b.matchIndex - a.matchIndex)[0]
-    // The lease must be given up before anyone is asked to take over: two leaders could answer otherwise.
+    // Guards against two leaders: the lease is given up before the successor starts its election.
     core.stepDown('graceful shutdown')
-    if (furthest === undefined) return
-    await opts.transport.call(furthest.member.name, { t: 'takeOver', term: core.meta.term, leader: core.self() }).catch(() => undefined)
+    if (successor === undefined) return
+    await opts.transport.call(successor.member.name, { t: 'takeOver', term: core.meta.term, leader: core.self() }).catch(() => undefined)
   }
 
   return {
@@ -117,9 +111,9 @@
         case 'preVote':
         case 'vote': return await election.onVoteRequest(core, msg)
         case 'append': return await replication.onAppend(core, msg)
-        case 'snapshot': return await replication.onSnapshotChunk(core, inbox, msg)
+        case 'snapshot': return await replication.onSnapshotChunk(core, assembly, msg)
         case 'takeOver':
-          if (core.isVoter() && msg.term === core.meta.term && core.role.kind !== 'leader') void election.campaign(core, true, lead)
+          if (core.isVoter() && msg.term === core.meta.term && core.role.kind !== 'leader') void election.campaign(core, true, onElected)
           return { t: 'takeOver', from: core.self() }
       }
     },
@@ -129,14 +123,14 @@
       return await appendAsLeader({ kind: 'command', atMs, command })
     },
     async confirmLeadership (timeoutMs) {
-      const since = opts.clock.now()
+      const startedAt = opts.clock.now()
       const { role } = core
       if (role.kind !== 'leader') throw new replicaOptions.ProposalError('notLeader', core.leader)
-      for (const peer of role.lead.peers.values()) peer.wake()
-      while (core.lastQuorumContactAt() < since || core.appliedIndex < role.lead.termStartIndex) {
-        if (opts.clock.now() - since > timeoutMs) throw new replicaOptions.ProposalError('unknown', null)
-        await opts.clock.sleep(CONFIRM_LOOK_MS)
-        if (!replication.isLeading(core, role.lead)) throw new replicaOptions.ProposalError('notLeader', core.leader)
+      for (const peer of role.leadership.peers.values()) peer.wake()
+      while (core.lastQuorumContactAt() < startedAt || core.appliedIndex < role.leadership.termStartIndex) {
+        if (opts.clock.now() - startedAt > timeoutMs) throw new replicaOptions.ProposalError('unknown', null)
+        await opts.clock.sleep(CONFIRM_POLL_MS)
+        if (!replication.isLeading(core, role.leadership)) throw new replicaOptions.ProposalError('notLeader', core.leader)
       }
     },
     isReady: core.isReady,
@@ -150,10 +144,10 @@
       commit: core.commitIndex,
       leader: core.leader,
       voters: core.voters().map(entries.toMemberId),
-      learners: core.role.kind === 'leader' ? [...core.role.lead.learners.keys()] : []
+      learners: core.role.kind === 'leader' ? [...core.role.leadership.learners.keys()] : []
     }),
     async stop () {
-      await handOver()
+      await transferLeadership()
       core.isRunning = false
       await opts.storage.close()
     }
--- a/packages/state/src/replicaCore.ts
+++ b/packages/state/src/replicaCore.ts
@@ -1,59 +1,57 @@
 /**
- * What the tasks of one replica share: its log, its term and vote, its role, and the steps that must not be interleaved.
- * The tasks themselves stand in election.ts, replication.ts, repair.ts and founding.ts.
+ * State shared by the tasks of a replica, and its operations that must not be interleaved. The tasks are in election.ts,
+ * replication.ts, membershipChanges.ts and bootstrap.ts.
  */
 import * as entries from './entries.js'
 import * as memoryLog from './memoryLog.js'
 import * as replicaOptions from './replicaOptions.js'
 
-/** How far a peer has come, as its leader knows. */
+/** Replication progress of a peer, tracked by the leader. */
 export interface PeerProgress {
   member: entries.Member
+  /** Index of the next entry to send. */
   nextIndex: number
+  /** Highest index known to be synced by the peer. */
   matchIndex: number
-  /** When the last append that it acknowledged was sent. */
+  /** Send time of the latest append that the peer acknowledged. */
   lastAckedSentAt: number
-  /** Wakes the task that feeds it. */
+  /** Wakes the replication task of the peer. */
   wake: () => void
 }
 
-/** What a leader keeps for its term. */
+/** State of a leader for its term. */
 export interface Leadership {
   term: number
-  /** Index of the entry that opened the term. */
+  /** Index of the no-op entry that starts the term. */
   termStartIndex: number
   startedAt: number
   peers: Map<string, PeerProgress>
   learners: Map<string, entries.Member>
   pendingProposals: Map<number, { resolve: (result: unknown) => void, reject: (err: Error) => void }>
+  /** Whether `onLeadershipChange` was called with true. */
   isAnnounced: boolean
 }
 
-/** A replica's part in its group. */
+/** Role of a replica in its group; `outside` before it is part of one. */
 export type Role =
   | { kind: 'outside' }
   | { kind: 'follower' }
   | { kind: 'candidate' }
-  | { kind: 'leader', lead: Leadership }
+  | { kind: 'leader', leadership: Leadership }
 
-/** A leader counts on its lease for this share of the shortest election timeout: covers differing clock rates. */
-const LEASE_SHARE = 0.8
-const SNAPSHOT_EVERY = 500
-/** Entries kept behind a snapshot for followers that are a little behind. */
-const KEEP_BEHIND_SNAPSHOT = 100
+/** Lease duration as a fraction of the minimum election timeout; the margin covers clock drift. */
+const LEASE_FRACTION = 0.8
+const DEFAULT_SNAPSHOT_ENTRIES = 500
+/** Number of entries retained before a snapshot, so that slightly lagging followers need no snapshot. */
+const RETAINED_ENTRIES = 100
 
-/** What the tasks of a replica share. */
+/** State shared by the tasks of a replica. */
 export interface Core extends ReturnType<typeof createCore> {}
 
-/**
- * Creates what the tasks of a replica share.
- * @param opts what the replica is built from
- * @returns the shared state and its steps
- */
 export function createCore (opts: replicaOptions.ReplicaOptions) {
-  const { clock, storage: disk, invariants } = opts
+  const { clock, storage, invariants } = opts
   const log = memoryLog.createMemoryLog()
-  const snapshotEvery = opts.snapshotEvery ?? SNAPSHOT_EVERY
+  const snapshotEvery = opts.snapshotEvery ?? DEFAULT_SNAPSHOT_ENTRIES
   const core = {
     opts,
     timing: opts.timing ?? replicaOptions.DEFAULT_TIMING,
@@ -62,132 +60,133 @@
     syncedMeta: undefined as entries.Meta | undefined,
     role: { kind: 'outside' } as Role,
     leader: null as string | null,
-    /** When a leader was last heard; votes are refused for a while after it. */
+    /** Last contact from a leader, or the start of the replica; votes are rejected for a while afterwards. */
     lastContactOrStartAt: clock.now(),
-    /** When entries or a heartbeat last came from a leader; never before the first. */
+    /** Last contact from a leader; -Infinity before the first. */
     lastLeaderContactAt: -Infinity,
-    /** When this replica last had a reason to wait before it stands for election. */
+    /** Last reset of the election timer for reasons other than contact from a leader. */
     electionTimerStartedAt: clock.now(),
     isRunning: true,
     commitIndex: 0,
     appliedIndex: 0,
+    /** Timestamp of the latest applied command; command timestamps never decrease. */
     lastAtMs: 0,
     snapshotVoters: [] as entries.Member[],
     snapshotIndex: 0,
     lastSnapshot: undefined as entries.Snapshot | undefined,
-    /** Last index handed to the disk. */
+    /** Last index passed to the storage. */
     queuedIndex: 0,
-    /** Last index known to be synced. */
+    /** Last index synced to storage. */
     syncedIndex: 0,
-    /** The latest write of entries; writes are done in order, so it ends after all earlier ones. */
+    /** The latest write of entries. Writes are performed in order, so it completes after all earlier ones. */
     lastWrite: Promise.resolve() as Promise<void>,
 
     self: (): entries.Member => ({ name: opts.name, incarnation: core.meta.incarnation }),
     selfId: () => entries.toMemberId(core.self()),
     voters: (): entries.Member[] => log.membership()?.voters ?? core.snapshotVoters,
-    isVoter: () => core.voters().some(who => entries.toMemberId(who) === core.selfId()),
+    isVoter: () => core.voters().some(voter => entries.toMemberId(voter) === core.selfId()),
     quorum: () => Math.floor(core.voters().length / 2) + 1,
 
-    /** Writes term, vote and founding as they are now; later changes are written later, in order. */
+    /** Persists the current metadata. */
     async saveMeta (): Promise<void> {
       const copy = { ...core.meta }
-      await disk.saveMeta(copy)
+      await storage.saveMeta(copy)
       core.syncedMeta = copy
     },
 
-    /** Takes a higher term, with no vote given in it yet. */
+    /** Adopts a higher term, in which this replica has not voted. */
     async observeTerm (term: number): Promise<void> {
       if (term <= core.meta.term) return
       core.meta = { ...core.meta, term, votedFor: null }
-      core.stepDown('a higher term was seen')
+      core.stepDown('observed a higher term')
       await core.saveMeta()
     },
 
-    /** Ends leadership or candidacy. */
+    /** Becomes a follower; pending proposals of a leader fail with an unknown outcome. */
     stepDown (why: string): void {
-      const was = core.role
-      if (was.kind === 'outside') return
+      const previous = core.role
+      if (previous.kind === 'outside') return
       core.role = { kind: 'follower' }
-      if (was.kind !== 'leader') return
+      if (previous.kind !== 'leader') return
       core.leader = null
       core.electionTimerStartedAt = clock.now()
-      for (const waiter of was.lead.pendingProposals.values()) waiter.reject(new replicaOptions.ProposalError('unknown', null))
-      for (const peer of was.lead.peers.values()) peer.wake()
-      opts.log.event('leaderLost', { group: opts.group, replica: opts.name, term: was.lead.term, why })
-      if (was.lead.isAnnounced) opts.onLeadershipChange?.(false)
+      for (const proposal of previous.leadership.pendingProposals.values()) proposal.reject(new replicaOptions.ProposalError('unknown', null))
+      for (const peer of previous.leadership.peers.values()) peer.wake()
+      opts.log.event('leaderLost', { group: opts.group, replica: opts.name, term: previous.leadership.term, why })
+      if (previous.leadership.isAnnounced) opts.onLeadershipChange?.(false)
     },
 
-    /** Writes all entries that the disk has not been given yet, and waits until they are synced. */
+    /** Writes all entries that were not yet passed to the storage, and waits until they are synced. */
     async persist (): Promise<void> {
       const list = log.from(core.queuedIndex + 1, Infinity)
       const last = log.lastIndex()
       if (list.length > 0) {
         core.queuedIndex = last
-        core.lastWrite = disk.append(list)
+        core.lastWrite = storage.append(list)
       }
-      // Entries that another task handed to the disk count only when that write is synced as well.
+      // Entries passed to the storage by another task must be synced as well.
       await core.lastWrite
       core.syncedIndex = Math.min(Math.max(core.syncedIndex, last), log.lastIndex())
     },
 
-    /** Removes entries that another leader's log contradicts. */
+    /** Removes entries that conflict with the leader's log. */
     async truncateFrom (index: number): Promise<void> {
-      invariants.check('commitNeverReverts', index > core.commitIndex, () => `truncating at ${index}, committed ${core.commitIndex}`)
+      invariants.check('commitNeverReverts', index > core.commitIndex, () => `truncating the log at entry ${index}, but entries up to ${core.commitIndex} are committed`)
       log.truncateFrom(index)
       core.syncedIndex = Math.min(core.syncedIndex, index - 1)
       if (index > core.queuedIndex) return
       core.queuedIndex = index - 1
-      await disk.truncateFrom(index)
+      await storage.truncateFrom(index)
     },
 
-    /** Commits up to an index and applies what became committed. */
+    /** Advances the commit index and applies the newly committed entries. */
     advanceCommit (index: number): void {
-      const to = Math.min(index, log.lastIndex())
-      if (to <= core.commitIndex) return
-      core.commitIndex = to
+      const newIndex = Math.min(index, log.lastIndex())
+      if (newIndex <= core.commitIndex) return
+      core.commitIndex = newIndex
       while (core.appliedIndex < core.commitIndex) applyNext()
-      // Only what is synced here: after a restart the replica begins from this entry without asking anyone.
-      disk.saveCommitIndex?.(Math.min(core.commitIndex, core.syncedIndex))
+      // Limited to synced entries: a restarted replica applies them before it contacts any other.
+      storage.saveCommitIndex?.(Math.min(core.commitIndex, core.syncedIndex))
       core.maybeSnapshot()
     },
 
-    /** As leader: commits what a quorum of voters has synced. */
+    /** As leader, commits the entries that a quorum of voters has synced. */
     commitAcknowledged (): void {
       const { role } = core
       if (role.kind !== 'leader') return
-      const matches = core.voters().map(who => {
-        const id = entries.toMemberId(who)
-        return id === core.selfId() ? core.syncedIndex : role.lead.peers.get(id)?.matchIndex ?? 0
+      const matches = core.voters().map(voter => {
+        const id = entries.toMemberId(voter)
+        return id === core.selfId() ? core.syncedIndex : role.leadership.peers.get(id)?.matchIndex ?? 0
       })
       const index = matches.sort((a, b) => b - a)[core.quorum() - 1] ?? 0
-      // An entry of an earlier term may be overwritten even when a quorum holds it, so only one of this term commits it.
-      if (log.termAt(index) === role.lead.term) core.advanceCommit(index)
+      // Entries of earlier terms may still be overwritten even if a quorum has them: only an entry of this term commits them.
+      if (log.termAt(index) === role.leadership.term) core.advanceCommit(index)
     },
 
-    /** @returns until when no other replica can lead, by the acknowledgements of a quorum */
+    /** @returns the expiry of the leader's lease, before which no other replica can be elected */
     leaseEnd (): number {
-      return core.lastQuorumContactAt() + core.timing.electionMinMs * LEASE_SHARE
+      return core.lastQuorumContactAt() + core.timing.electionMinMs * LEASE_FRACTION
     },
 
-    /** @returns when the latest append was sent that a quorum has acknowledged, as leader */
+    /** @returns as leader, the send time of the latest append that a quorum has acknowledged; otherwise -Infinity */
     lastQuorumContactAt (): number {
       const { role } = core
       if (role.kind !== 'leader') return -Infinity
-      const sent = core.voters().map(who => {
-        const id = entries.toMemberId(who)
-        return id === core.selfId() ? clock.now() : role.lead.peers.get(id)?.lastAckedSentAt ?? -Infinity
+      const sent = core.voters().map(voter => {
+        const id = entries.toMemberId(voter)
+        return id === core.selfId() ? clock.now() : role.leadership.peers.get(id)?.lastAckedSentAt ?? -Infinity
       })
       return sent.sort((a, b) => b - a)[core.quorum() - 1] ?? -Infinity
     },
 
-    /** Guards against an isolated leader that still believes: it may answer only while its lease lasts. */
+    /** Guards against stale reads from an isolated leader: it may reply only while its lease is valid. */
     isReady (): boolean {
       const { role } = core
       if (role.kind !== 'leader') return false
-      return core.appliedIndex >= role.lead.termStartIndex && clock.now() < core.leaseEnd()
+      return core.appliedIndex >= role.leadership.termStartIndex && clock.now() < core.leaseEnd()
     },
 
-    /** Takes a snapshot when enough was applied since the last one. */
+    /** Takes a snapshot when enough entries were applied since the last one. */
     maybeSnapshot (): void {
       if (core.appliedIndex - core.snapshotIndex < snapshotEvery) return
       const snapshot: entries.Snapshot = {
@@ -200,16 +199,16 @@
       core.lastSnapshot = snapshot
       core.snapshotIndex = snapshot.lastIndex
       core.snapshotVoters = snapshot.voters
-      const keepFrom = Math.max(log.base().index + 1, snapshot.lastIndex - KEEP_BEHIND_SNAPSHOT + 1)
+      const keepFrom = Math.max(log.base().index + 1, snapshot.lastIndex - RETAINED_ENTRIES + 1)
       if (keepFrom - 1 > log.base().index) log.compactTo(keepFrom - 1)
       opts.log.event('snapshotTaken', { group: opts.group, replica: opts.name, index: snapshot.lastIndex })
-      disk.saveSnapshot(snapshot, keepFrom).catch(core.fail)
+      storage.saveSnapshot(snapshot, keepFrom).catch(core.fail)
     },
 
-    /** A disk that fails makes the replica useless: better no replica than one that forgets. */
+    /** Stops the replica after a storage failure, since it can no longer guarantee what it acknowledges. */
     fail (err: unknown): void {
       if (!core.isRunning) return
-      core.stepDown('the disk failed')
+      core.stepDown('storage failed')
       core.isRunning = false
       opts.onFailed?.()
       opts.log.event('uncaught', { group: opts.group, replica: opts.name, detail: err instanceof Error ? err.message : String(err) })
@@ -228,7 +227,7 @@
 
   const applyNext = (): void => {
     const item = log.at(core.appliedIndex + 1)
-    if (item === undefined) throw new Error(`entry ${core.appliedIndex + 1} is committed but not held`)
+    if (item === undefined) throw new Error(`entry ${core.appliedIndex + 1} is committed but not in the log`)
     core.appliedIndex = item.index
     let result: unknown
     if (item.body.kind === 'command') {
@@ -237,9 +236,9 @@
     }
     const { role } = core
     if (role.kind !== 'leader') return
-    const waiter = role.lead.pendingProposals.get(item.index)
-    role.lead.pendingProposals.delete(item.index)
-    waiter?.resolve(result)
+    const proposal = role.leadership.pendingProposals.get(item.index)
+    role.leadership.pendingProposals.delete(item.index)
+    proposal?.resolve(result)
   }
 
   return core
--- a/packages/state/src/replicaOptions.ts
+++ b/packages/state/src/replicaOptions.ts
@@ -1,56 +1,54 @@
-/** What a replica is built from, and what may come of a proposal. */
+/** Options and interfaces of a replica, and the error of failed proposals. */
 import * as contracts from '@kingcupdeck/contracts'
 import * as telemetry from '@kingcupdeck/telemetry'
 import * as clocks from './clock.js'
 import * as entries from './entries.js'
 import * as storage from './storage.js'
 
-/** The state that a group replicates. Applying must depend on nothing but the command and its context. */
+/** Replicated state machine. `apply` must be deterministic: it may depend only on the state, the command and its context. */
 export interface StateMachine {
-  /** Applies a committed command. @returns what the proposer gets */
+  /** Applies a committed command. @returns the result for the proposer */
   apply (command: unknown, ctx: { index: number, atMs: number }): unknown
-  /** @returns the whole state */
+  /** @returns the serialized state */
   save (): Uint8Array
-  /** Replaces the whole state. */
+  /** Replaces the state by a serialized one. */
   restore (state: Uint8Array): void
 }
 
-/** How replicas reach each other. */
+/** Calls between replicas. */
 export interface Transport {
-  /** Asks another replica. @throws Error when there is no reply */
+  /** @throws Error when there is no reply */
   call (name: string, msg: entries.Rpc): Promise<entries.RpcReply>
 }
 
-/** How fast a group notices that its leader is gone. All in milliseconds. */
+/** Timing of failure detection, in milliseconds. */
 export interface ReplicaTiming {
-  /** How often a leader sends to a follower that has nothing new to get. */
+  /** Interval of heartbeats to followers that are up to date. */
   heartbeatMs: number
-  /** Shortest silence of the leader after which a replica stands for election. */
+  /** Lower bound of the randomized election timeout. */
   electionMinMs: number
-  /** Longest such silence: the spread keeps replicas from standing at the same time. */
+  /** Upper bound of the randomized election timeout, which avoids split votes. */
   electionMaxMs: number
 }
 
-/** That of a fleet's control instances. */
+/** Timing of the control instances. */
 export const DEFAULT_TIMING: ReplicaTiming = { heartbeatMs: contracts.HEARTBEAT_INTERVAL_MS, electionMinMs: contracts.ELECTION_TIMEOUT_MIN_MS, electionMaxMs: contracts.ELECTION_TIMEOUT_MAX_MS }
 
-/** What a replica is built from. */
 export interface ReplicaOptions {
-  /** Name of the group, for logs. */
+  /** Name of the replica group, for logs. */
   group: string
-  /** Name of this replica. */
   name: string
-  /** Names of the replicas that found the group; in a closed group these are all replicas there will ever be. */
+  /** Names of the replicas that bootstrap the group; without dynamic membership these are all its replicas. */
   founderNames: readonly string[]
-  /** Whether this replica may take part in founding; false after a restart with an empty disk. Default: true. */
+  /** Whether this replica may bootstrap the group; false after a restart with an empty disk. Default: true. */
   canBootstrap?: boolean
-  /** Names to greet and to ask for admission; the founders when absent. */
+  /** Names of replicas to contact for joining. Default: the founders. */
   contacts?: () => readonly string[]
-  /** Whether replicas that are no founders may be admitted, and voters that stay silent retired. */
+  /** Whether replicas other than the founders are admitted, and unresponsive voters removed. Default: false. */
   isDynamic?: boolean
-  /** How fast failures are noticed; that of a fleet's control instances when absent. */
+  /** Default: the timing of the control instances. */
   timing?: ReplicaTiming
-  /** The fewest voters that retiring silent ones may leave. */
+  /** Minimum number of voters that the removal of an unresponsive voter may leave. Default: 3. */
   minVoters?: number
   storage: storage.Storage
   transport: Transport
@@ -58,26 +56,26 @@
   clock: clocks.Clock
   /** A number in [0, 1). */
   random: () => number
-  /** A fresh incarnation for a new data folder. */
+  /** Generates a unique incarnation for an empty data folder. */
   createIncarnation: () => string
   log: telemetry.Log
   invariants: telemetry.Invariants
-  /** Applied entries between two snapshots. */
+  /** Number of applied entries between two snapshots. Default: 500. */
   snapshotEvery?: number
-  /** Told when this replica starts to lead (and is ready) or stops. */
+  /** Called with true once this replica leads and is ready, and with false when it stops leading. */
   onLeadershipChange?: (isLeader: boolean) => void
-  /** Told once when the disk failed and this replica can do nothing more. */
+  /** Called once when the storage failed and the replica has stopped. */
   onFailed?: () => void
 }
 
-/** A proposal was not taken, or its outcome is not known. */
+/** A proposal was rejected, or its outcome is unknown. */
 export class ProposalError extends Error {
   /**
-   * @param kind `notLeader`: nothing was appended; `unknown`: it was appended but leadership was lost before commit
-   * @param leader the leader's name if known
+   * @param kind `notLeader`: not appended; `unknown`: the outcome is not known, since leadership was lost or not confirmed in time
+   * @param leader name of the leader, if known
    */
   constructor (readonly kind: 'notLeader' | 'unknown', readonly leader: string | null) {
-    super(kind === 'notLeader' ? `not the leader; try ${leader ?? 'another replica'}` : 'leadership was lost before the outcome was known')
+    super(kind === 'notLeader' ? `this replica is not the leader; retry at ${leader ?? 'another replica'}` : 'leadership was lost or not confirmed in time; the outcome is unknown')
     this.name = 'ProposalError'
   }
 }
--- a/packages/state/src/storage.ts
+++ b/packages/state/src/storage.ts
@@ -1,28 +1,25 @@
-/** What a replica needs of its disk. All writes take effect in the order of the calls. */
+/** Durable storage of a replica. Writes take effect in call order. */
 import * as entries from './entries.js'
 
-/** What was found when a replica started. */
+/** Stored state found at startup. */
 export type LoadResult =
   | { kind: 'empty' }
   | { kind: 'damaged', detail: string }
-  | { kind: 'found', meta: entries.Meta, snapshot: entries.Snapshot | undefined, entries: entries.Entry[], tornBytes: number, /** An entry up to which all are known to be committed. */ commitIndex: number }
+  | { kind: 'found', meta: entries.Meta, snapshot: entries.Snapshot | undefined, entries: entries.Entry[], tornBytes: number, /** Index up to which entries are known to be committed. */ commitIndex: number }
 
-/** The disk of one replica. A promise that resolves means synced; one that rejects is fatal for the replica. */
+/** Durable storage of one replica. A resolved promise means synced to disk; a rejected one is fatal for the replica. */
 export interface Storage {
-  /** Reads what is there. */
   load (): Promise<LoadResult>
-  /** Removes everything, before a replica with a damaged folder starts anew. */
+  /** Removes all stored state, before a replica with damaged storage starts empty. */
   wipe (): Promise<void>
-  /** Writes term, vote and founding. */
   saveMeta (meta: entries.Meta): Promise<void>
-  /** Writes entries behind the last one. */
   append (list: readonly entries.Entry[]): Promise<void>
-  /** Notes, without syncing, up to where entries are committed; what a restart finds may be lower. */
+  /** Records the commit index without syncing, so a restart may find a lower one. */
   saveCommitIndex? (index: number): void
-  /** Removes the entry with this index and all behind it. */
+  /** Removes the entry with this index and all later ones. */
   truncateFrom (index: number): Promise<void>
-  /** Writes a snapshot and removes the entries before `keepFrom`. */
+  /** Stores a snapshot and removes the entries before index `keepFrom`. */
   saveSnapshot (snapshot: entries.Snapshot, keepFrom: number): Promise<void>
-  /** Closes files after the last write. */
+  /** Closes the files after pending writes. */
   close (): Promise<void>
 }
