--- a/packages/state/__tests__/fileStorage.test.ts
+++ b/packages/state/__tests__/fileStorage.test.ts
@@ -27,7 +27,7 @@
   await disk.close()
 }
 
-async function load (folder: string): Promise<state.Loaded> {
+async function load (folder: string): Promise<state.LoadResult> {
   const disk = await state.createFileStorage(folder)
   const loaded = await disk.load()
   await disk.close()
