--- a/packages/membership/__tests__/ownership.test.ts
+++ b/packages/membership/__tests__/ownership.test.ts
@@ -63,26 +63,26 @@
   t.is(views.number(), 2)
 })
 
-const entry = (seq: number, state: contracts.EndpointRecord['state'] = 'ready', boot = 1): contracts.EndpointRecord => ({ id: 'e', service: 's', zone: 'z', address: '127.0.0.1:1', boot, seq, state, slots: 1, weight: 1, models: [], checksFencing: false })
+const toRecord = (seq: number, state: contracts.EndpointRecord['state'] = 'ready', boot = 1): contracts.EndpointRecord => ({ id: 'e', service: 's', zone: 'z', address: '127.0.0.1:1', boot, seq, state, slots: 1, weight: 1, models: [], checksFencing: false })
 
-test('entries are merged by boot and sequence number, not by order of arrival', t => {
+test('records are merged by boot and sequence number, not by order of arrival', t => {
   const table = membership.createEndpointTable()
-  t.true(table.merge(entry(5, 'leaving')))
-  t.false(table.merge(entry(4)))
-  t.false(table.merge(entry(5)))
-  t.true(table.merge(entry(5, 'gone')))
-  t.false(table.merge(entry(5, 'leaving')))
-  t.true(table.merge(entry(1, 'ready', 2)))
+  t.true(table.merge(toRecord(5, 'leaving')))
+  t.false(table.merge(toRecord(4)))
+  t.false(table.merge(toRecord(5)))
+  t.true(table.merge(toRecord(5, 'gone')))
+  t.false(table.merge(toRecord(5, 'leaving')))
+  t.true(table.merge(toRecord(1, 'ready', 2)))
   t.deepEqual(table.ready('s').map(item => item.boot), [2])
 })
 
-test('equal tables have equal digests, and differing entries are found', t => {
+test('equal tables have equal digests, and differing records are found', t => {
   const [left, right] = [membership.createEndpointTable(), membership.createEndpointTable()]
-  const list = Array.from({ length: 100 }, (_, i) => ({ ...entry(1), id: `e${i}` }))
+  const list = Array.from({ length: 100 }, (_, i) => ({ ...toRecord(1), id: `e${i}` }))
   list.forEach(left.merge)
   ;[...list].reverse().forEach(right.merge)
   t.deepEqual(left.bucketDigests(), right.bucketDigests())
-  right.merge({ ...entry(2), id: 'e7' })
+  right.merge({ ...toRecord(2), id: 'e7' })
   t.true(right.findDifferences(left.bucketDigests()).some(item => item.id === 'e7' && item.seq === 2))
   t.true(right.findDifferences(left.bucketDigests()).length < 20)
 })
--- a/packages/membership/src/gossip.ts
+++ b/packages/membership/src/gossip.ts
@@ -1,5 +1,5 @@
 /**
- * Gossip of endpoint entries between instances under a byte budget: updates go to random peers, and periodic digest
+ * Gossip of endpoint records between instances under a byte budget: updates go to random peers, and periodic digest
  * comparison with a random peer repairs missed updates.
  */
 import * as contracts from '@kingcupdeck/contracts'
@@ -16,10 +16,10 @@
   bytesPerSecond?: number
 }
 
-/** Disseminates endpoint entries. */
+/** Disseminates endpoint records. */
 export interface Gossip {
-  /** Merges an entry into the table and gossips it if it is newer. @returns whether it was newer */
-  merge (entry: contracts.EndpointRecord): boolean
+  /** Merges an record into the table and gossips it if it is newer. @returns whether it was newer */
+  merge (record: contracts.EndpointRecord): boolean
   /** Handles a gossip call of a peer. */
   onCall (msg: Extract<contracts.PeerCall, { t: 'gossip' }>): contracts.PeerReply
   stop (): void
@@ -31,8 +31,8 @@
 const UPDATE_FANOUT = 2
 const SWEEP_INTERVAL_MS = 30_000
 const DEFAULT_BYTES_PER_SECOND = 2500
-/** Assumed size of an encoded entry, for the byte budget. */
-const ENTRY_BYTES = 170
+/** Assumed size of an encoded record, for the byte budget. */
+const RECORD_BYTES = 170
 /** Assumed size of the encoded bucket digests. */
 const DIGESTS_BYTES = 180
 
@@ -44,10 +44,10 @@
   let availableBytes = bytesPerSecond
   let rounds = 0
 
-  const merge = (entry: contracts.EndpointRecord): boolean => {
-    if (!opts.table.merge(entry)) return false
-    pending.delete(entry.id)
-    pending.set(entry.id, UPDATE_FANOUT)
+  const merge = (record: contracts.EndpointRecord): boolean => {
+    if (!opts.table.merge(record)) return false
+    pending.delete(record.id)
+    pending.set(record.id, UPDATE_FANOUT)
     return true
   }
 
@@ -55,14 +55,14 @@
   const dequeueUpdates = (): contracts.EndpointRecord[] => {
     const list: contracts.EndpointRecord[] = []
     for (const id of [...pending.keys()].reverse()) {
-      if (availableBytes < ENTRY_BYTES) break
-      const entry = opts.table.get(id)
+      if (availableBytes < RECORD_BYTES) break
+      const record = opts.table.get(id)
       const remaining = (pending.get(id) ?? 1) - 1
       if (remaining <= 0) pending.delete(id)
       else pending.set(id, remaining)
-      if (entry === undefined) continue
-      list.push(entry)
-      availableBytes -= ENTRY_BYTES
+      if (record === undefined) continue
+      list.push(record)
+      availableBytes -= RECORD_BYTES
     }
     return list
   }
@@ -79,7 +79,7 @@
     if (reply.t === 'gossip' && isDigestRound && !reply.isEqual) await compareBuckets(peer)
   }
 
-  /** Fetches the entries of the buckets that differ from the peer's. */
+  /** Fetches the records of the buckets that differ from the peer's. */
   const compareBuckets = async (peer: contracts.Instance): Promise<void> => {
     availableBytes -= DIGESTS_BYTES
     const reply = await opts.call(peer, { t: 'gossip', digests: opts.table.bucketDigests(), entries: [] })
@@ -96,10 +96,10 @@
       if (msg.digests.length === 0) return { t: 'gossip', entries: [], isEqual: true }
       if (msg.digests.length === 1) return { t: 'gossip', entries: [], isEqual: msg.digests[0] === opts.table.digest() }
       const differing = opts.table.findDifferences(msg.digests)
-      const limit = Math.max(0, Math.floor(availableBytes / ENTRY_BYTES))
+      const limit = Math.max(0, Math.floor(availableBytes / RECORD_BYTES))
       const start = differing.length > limit ? Math.floor(opts.random() * differing.length) : 0
       const entries = [...differing.slice(start), ...differing.slice(0, start)].slice(0, limit)
-      availableBytes -= entries.length * ENTRY_BYTES
+      availableBytes -= entries.length * RECORD_BYTES
       return { t: 'gossip', entries, isEqual: false }
     },
     stop () {
