--- a/packages/control/src/replicaGroups.ts
+++ b/packages/control/src/replicaGroups.ts
@@ -42,7 +42,7 @@
  * @param onLeadership told when this replica starts to lead or stops
  * @returns the replica
  */
-export async function startReplica (opts: GroupOptions, group: string, machine: state.Machine, onLeadership: (isLeader: boolean) => void): Promise<state.Replica> {
+export async function startReplica (opts: GroupOptions, group: string, machine: state.StateMachine, onLeadership: (isLeader: boolean) => void): Promise<state.Replica> {
   return await state.createReplica({
     group,
     name: opts.id,
--- a/packages/coordination/src/documentMachine.ts
+++ b/packages/coordination/src/documentMachine.ts
@@ -17,7 +17,7 @@
 export type PutResult = z.infer<typeof putResult>
 
 /** The state machine, with read access to its state. */
-export interface DocumentMachine extends state.Machine {
+export interface DocumentMachine extends state.StateMachine {
   /** Returns the latest document, null before the first. */
   latest (): contracts.VersionedText | null
 }
--- a/packages/state/__tests__/helpers/virtualCluster.ts
+++ b/packages/state/__tests__/helpers/virtualCluster.ts
@@ -169,7 +169,7 @@
 
   applied (name: string): string[] { return this.node(name).process.applied }
 
-  private createStateMachine (process: Process): state.Machine {
+  private createStateMachine (process: Process): state.StateMachine {
     return {
       apply: command => { process.applied.push(command as string) },
       save: () => Buffer.from(JSON.stringify(process.applied)),
