--- a/packages/control/src/controlInstance.ts
+++ b/packages/control/src/controlInstance.ts
@@ -4,7 +4,7 @@
 import * as membership from '@kingcupdeck/membership'
 import * as state from '@kingcupdeck/state'
 import * as telemetry from '@kingcupdeck/telemetry'
-import * as leasesOf from './leases.js'
+import * as leaseTable from './leaseTable.js'
 import * as operatorServer from './operatorServer.js'
 import * as replicaGroups from './replicaGroups.js'
 
@@ -45,24 +45,24 @@
   const metrics = telemetry.createControlMetrics()
   const invariants = telemetry.createInvariants({ log, registry: metrics.registry, exportTallies: telemetry.exportTallies, isFatal: opts.isFatal })
   const groups = new Map<string, state.Replica>()
-  const who = { role: 'control' as const, id: opts.id }
-  const count: links.CountBytes = (direction, bytes) => { metrics.linkBytes.inc({ direction }, bytes) }
+  const identity = { role: 'control' as const, id: opts.id }
+  const countBytes: links.CountBytes = (direction, bytes) => { metrics.linkBytes.inc({ direction }, bytes) }
   const handlers: links.LinkHandlers = { onEvent: body => { onEvent(body) }, onCall: async (body, link) => await onCall(body, link) }
-  const peers = links.createPeerLinks({ identity: who, secret: opts.secret, log, countBytes: count, handlers })
-  const groupOptions: replicaGroups.GroupOptions = { ...opts, peers, invariants }
+  const peers = links.createPeerLinks({ identity, secret: opts.secret, log, countBytes, handlers })
+  const groupOptions: replicaGroups.ReplicaGroupOptions = { ...opts, peers, invariants }
 
-  const fleetMachine = state.createFleetMachine(() => { leases.onChange() })
-  const leases: leasesOf.Leases = leasesOf.createLeases({ machine: fleetMachine, replica: () => groups.get('fleet'), log })
+  const fleetMachine = state.createFleetMachine(() => { leases.onStateChange() })
+  const leases: leaseTable.LeaseTable = leaseTable.createLeaseTable({ machine: fleetMachine, replica: () => groups.get('fleet'), log })
 
-  const found = async (): Promise<void> => {
+  const proposeInitialDocument = async (): Promise<void> => {
     if (opts.document === undefined || fleetMachine.version() > 0) return
     await groups.get('fleet')?.propose({ t: 'put', operator: 'founding', operation: 'founding', baseVersion: 0, document: opts.document } satisfies state.FleetCommand)
   }
 
-  const server = await links.listen(opts.peerListen, { identity: who, secret: opts.secret, log, countBytes: count, handlers }, link => { if (link.peer.role === 'control') peers.add(link) })
+  const peerServer = await links.listen(opts.peerListen, { identity, secret: opts.secret, log, countBytes, handlers }, link => { if (link.peer.role === 'control') peers.add(link) })
   groups.set('fleet', await replicaGroups.startReplica(groupOptions, 'fleet', fleetMachine, isLeader => {
-    leases.onLeadership(isLeader)
-    if (isLeader) found().catch(() => {})
+    leases.onLeadershipChange(isLeader)
+    if (isLeader) proposeInitialDocument().catch(() => {})
   }))
   for (let i = 0; i < opts.ledgerGroups; i++) {
     groups.set(`ledger-${i}`, await replicaGroups.startReplica(groupOptions, `ledger-${i}`, state.createLedgerMachine(), () => {}))
@@ -80,22 +80,22 @@
       if (replica === undefined) throw new Error(`no group ${groupMessage.raft} here`)
       return await replica.handle(groupMessage.msg)
     }
-    return await answer(contracts.controlCall.parse(body), link)
+    return await handleControlCall(contracts.controlCall.parse(body), link)
   }
 
-  const answer = async (call: contracts.ControlCall, link: links.Link): Promise<contracts.ControlReply> => {
+  const handleControlCall = async (call: contracts.ControlCall, link: links.Link): Promise<contracts.ControlReply> => {
     const group = 'group' in call ? `ledger-${call.group}` : 'fleet'
     const replica = groups.get(group)
     if (replica === undefined || !replica.isReady()) return { t: 'notLeader', leader: replica?.leaderName() ?? null }
     try {
-      return await obey(call, replica, link)
+      return await executeCall(call, replica, link)
     } catch (err) {
       if (err instanceof state.ProposalError) return { t: 'notLeader', leader: err.leader }
       throw err
     }
   }
 
-  const obey = async (call: contracts.ControlCall, replica: state.Replica, link: links.Link): Promise<contracts.ControlReply> => {
+  const executeCall = async (call: contracts.ControlCall, replica: state.Replica, link: links.Link): Promise<contracts.ControlReply> => {
     switch (call.t) {
       case 'renew': return await leases.renew(call, link)
       case 'leave': return await leases.leave(call.instance, call.incarnation)
@@ -117,9 +117,9 @@
   }
 
   const putDocument = async (call: Extract<contracts.ControlCall, { t: 'documentPut' }>, replica: state.Replica): Promise<contracts.ControlReply> => {
-    const checked = contracts.checkDocument(call.document)
-    if (checked.kind === 'invalid') return { t: 'invalid', faults: checked.faults }
-    const result = await replica.propose({ t: 'put', operator: call.operator, operation: call.operation, baseVersion: call.baseVersion, document: checked.document } satisfies state.FleetCommand) as state.FleetResult
+    const validation = contracts.checkDocument(call.document)
+    if (validation.kind === 'invalid') return { t: 'invalid', faults: validation.faults }
+    const result = await replica.propose({ t: 'put', operator: call.operator, operation: call.operation, baseVersion: call.baseVersion, document: validation.document } satisfies state.FleetCommand) as state.FleetResult
     if (result.t === 'put') {
       log.event('documentAccepted', { version: result.version, operator: call.operator })
       return { t: 'put', version: result.version }
@@ -133,29 +133,29 @@
     documentVersion: fleetMachine.version(),
     view: fleetMachine.view(),
     instances: leases.toStatus(),
-    pools: leases.pools(),
+    pools: leases.toPoolLoads(),
     replicas: [...groups.values()].map(item => item.status())
   })
 
   // Operators may ask any control instance; this client finds the leader for them. It does not come as a control instance:
   // the other side would take its connection for replication, and this client answers no calls.
   const client = membership.createControlClient({ identity: { role: 'tool', id: opts.id }, secret: opts.secret, log, controls: opts.controls, onEvent: () => {} })
-  const operators = await operatorServer.startOperatorServer(opts.listen, { client, machine: fleetMachine, registry: metrics.registry, log, toHealth: () => ({ peerPort: server.port, replicas: [...groups.values()].map(item => item.status()), invariants: invariants.tallies() }) })
+  const operatorApi = await operatorServer.startOperatorServer(opts.listen, { client, machine: fleetMachine, registry: metrics.registry, log, toHealth: () => ({ peerPort: peerServer.port, replicas: [...groups.values()].map(item => item.status()), invariants: invariants.tallies() }) })
 
-  log.event('started', { role: 'control', url: operators.url, peerPort: server.port })
+  log.event('started', { role: 'control', url: operatorApi.url, peerPort: peerServer.port })
 
   return {
-    url: operators.url,
-    peerPort: server.port,
+    url: operatorApi.url,
+    peerPort: peerServer.port,
     invariants: invariants.tallies,
     async shutdown () {
       log.event('stopping')
-      await operators.close()
+      await operatorApi.close()
       leases.stop()
       for (const replica of groups.values()) await replica.stop()
       client.close()
       peers.close()
-      await server.close()
+      await peerServer.close()
       log.event('stopped')
     }
   }
--- a/packages/control/src/leases.ts
+++ b/packages/control/src/leaseTable.ts
@@ -9,7 +9,7 @@
 import * as telemetry from '@kingcupdeck/telemetry'
 
 /** The leases as the control leader keeps them. */
-export interface Leases {
+export interface LeaseTable {
   /** Answers a renewal. */
   renew (call: Extract<contracts.ControlCall, { t: 'renew' }>, link: links.Link): Promise<contracts.ControlReply>
   /** Takes a lease back. */
@@ -17,25 +17,25 @@
   /** Takes what an instance reports between renewals. */
   onEvent (event: contracts.ControlEvent): void
   /** Told when this instance starts to lead or stops. */
-  onLeadership (isLeader: boolean): void
+  onLeadershipChange (isLeader: boolean): void
   /** Told when the replicated state changed. */
-  onChange (): void
+  onStateChange (): void
   /** @returns the instances with their leases */
   toStatus (): contracts.FleetStatus['instances']
   /** @returns the load of every pool */
-  pools (): contracts.PoolLoad[]
+  toPoolLoads (): contracts.PoolLoad[]
   stop (): void
 }
 
 /** What the leases are built from. */
-export interface LeaseOptions {
+export interface LeaseTableOptions {
   machine: state.FleetMachine
   /** @returns this instance's replica of the fleet's group; undefined while it starts */
   replica: () => state.Replica | undefined
   log: telemetry.Log
 }
 
-interface Row {
+interface Lease {
   incarnation: number
   expiresAt: number
   viewSeen: number
@@ -46,87 +46,87 @@
   isRemoved: boolean
 }
 
-const EXPIRE_MS = 250
-const PUSH_MS = 20
-const POOL_PUSH_MS = 200
+const EXPIRY_CHECK_INTERVAL_MS = 250
+const PUSH_DELAY_MS = 20
+const POOL_PUSH_DELAY_MS = 200
 /** Where requests wait for the cap. */
-const URGENT_POOL_PUSH_MS = 15
+const URGENT_POOL_PUSH_DELAY_MS = 15
 /** Loads of others are pushed when they changed by more than this share. */
-const POOL_CHANGE = 0.03
+const MIN_POOL_LOAD_CHANGE_RATIO = 0.03
 
 /**
  * Creates the leases.
  * @param opts the replicated state and the way to change it
  * @returns the leases
  */
-export function createLeases (opts: LeaseOptions): Leases {
+export function createLeaseTable (opts: LeaseTableOptions): LeaseTable {
   const { machine, log } = opts
-  const rows = new Map<string, Row>()
+  const leases = new Map<string, Lease>()
   const rates = routing.createFleetRates()
   let pushTimer: NodeJS.Timeout | undefined
   let poolTimer: NodeJS.Timeout | undefined
   let isPoolPushUrgent = false
-  let pushedLoad = new Map<string, number>()
+  let pushedLoads = new Map<string, number>()
 
   const isReady = (): boolean => opts.replica()?.isReady() === true
   const notLeader = (): contracts.ControlReply => ({ t: 'notLeader', leader: opts.replica()?.leaderName() ?? null })
   const propose = async (cmd: state.FleetCommand): Promise<unknown> => await opts.replica()?.propose(cmd)
 
-  const ensureRow = (id: string, incarnation: number): Row => {
-    let row = rows.get(id)
-    if (row === undefined || row.incarnation !== incarnation) {
+  const ensureLease = (id: string, incarnation: number): Lease => {
+    let lease = leases.get(id)
+    if (lease === undefined || lease.incarnation !== incarnation) {
       // Nobody has acted on a view before the one it joined with, which its incarnation is the number of.
-      row = { incarnation, expiresAt: toExpiry(), viewSeen: incarnation, documentVersion: 0, loads: [], link: undefined, isRemoved: false }
-      rows.set(id, row)
+      lease = { incarnation, expiresAt: toExpiry(), viewSeen: incarnation, documentVersion: 0, loads: [], link: undefined, isRemoved: false }
+      leases.set(id, lease)
     }
-    return row
+    return lease
   }
 
   const toExpiry = (): number => performance.now() + contracts.LEASE_MS + contracts.LEASE_MARGIN_MS
 
-  const laggards = (): contracts.ViewUpdate['laggards'] => {
+  const listLaggards = (): contracts.ViewUpdate['laggards'] => {
     const list: contracts.ViewUpdate['laggards'] = []
     for (const instance of machine.instances()) {
-      const seen = ensureRow(instance.id, instance.incarnation).viewSeen
+      const seen = ensureLease(instance.id, instance.incarnation).viewSeen
       if (seen < machine.view()) list.push({ instance: instance.id, seen })
     }
     return list
   }
 
   const remove = async (id: string, incarnation: number): Promise<void> => {
-    const row = rows.get(id)
-    if (row !== undefined && row.incarnation === incarnation) row.isRemoved = true
+    const lease = leases.get(id)
+    if (lease !== undefined && lease.incarnation === incarnation) lease.isRemoved = true
     await propose({ t: 'left', id, incarnation })
-    if (rows.get(id)?.incarnation === incarnation) rows.delete(id)
+    if (leases.get(id)?.incarnation === incarnation) leases.delete(id)
     log.event('instanceLeft', { instance: id, incarnation, view: machine.view() })
   }
 
   const join = async (instance: contracts.Instance): Promise<number> => {
-    const known = machine.find(instance.id)
-    if (known !== undefined && known.boot !== instance.boot) {
+    const member = machine.find(instance.id)
+    if (member !== undefined && member.boot !== instance.boot) {
       // The earlier process may be frozen and still hold its lease: it must run out before another one takes the name.
-      if (performance.now() < ensureRow(known.id, known.incarnation).expiresAt) return 0
-      await remove(known.id, known.incarnation)
+      if (performance.now() < ensureLease(member.id, member.incarnation).expiresAt) return 0
+      await remove(member.id, member.incarnation)
     }
     const result = await propose({ t: 'join', instance }) as state.FleetResult
     if (result.t !== 'joined') return 0
-    if (known === undefined) log.event('instanceJoined', { instance: instance.id, incarnation: result.incarnation, view: machine.view() })
+    if (member === undefined) log.event('instanceJoined', { instance: instance.id, incarnation: result.incarnation, view: machine.view() })
     return result.incarnation
   }
 
   const expire = async (): Promise<void> => {
     if (!isReady()) return
     for (const instance of machine.instances()) {
-      const row = ensureRow(instance.id, instance.incarnation)
-      if (performance.now() > row.expiresAt && !row.isRemoved) await remove(instance.id, instance.incarnation)
+      const lease = ensureLease(instance.id, instance.incarnation)
+      if (performance.now() > lease.expiresAt && !lease.isRemoved) await remove(instance.id, instance.incarnation)
     }
   }
 
-  const toPools = (without: string | undefined): contracts.PoolLoad[] => {
+  const sumPoolLoads = (excludedId: string | undefined): contracts.PoolLoad[] => {
     const sums = new Map<string, contracts.PoolLoad>()
-    for (const [id, row] of rows) {
-      if (id === without || row.isRemoved) continue
-      for (const item of row.loads) {
+    for (const [id, lease] of leases) {
+      if (id === excludedId || lease.isRemoved) continue
+      for (const item of lease.loads) {
         const sum = sums.get(item.pool) ?? { pool: item.pool, load: 0, endpoints: 0, weight: 0 }
         sum.load += item.load
         sum.endpoints += item.endpoints
@@ -137,7 +137,7 @@
     return [...sums.values()]
   }
 
-  const toLimits = (demand: ReadonlyArray<{ account: string }>): Array<{ account: string, share: number }> => {
+  const toRateLimits = (demand: ReadonlyArray<{ account: string }>): Array<{ account: string, share: number }> => {
     const accounts = machine.document()?.clientAccounts ?? {}
     return demand
       .filter(item => accounts[item.account] !== undefined)
@@ -149,45 +149,45 @@
   const push = (): void => {
     pushTimer = undefined
     if (!isReady()) return
-    const behind = laggards()
-    for (const [id, row] of rows) {
-      if (row.link?.isOpen() !== true) continue
-      row.link.send({ t: 'view', view: machine.viewUpdate(row.viewSeen, behind) } satisfies contracts.ControlEvent)
-      const update = machine.documentUpdate(row.documentVersion)
-      if (update !== undefined && rows.has(id)) row.link.send({ t: 'document', document: update } satisfies contracts.ControlEvent)
+    const laggards = listLaggards()
+    for (const [id, lease] of leases) {
+      if (lease.link?.isOpen() !== true) continue
+      lease.link.send({ t: 'view', view: machine.viewUpdate(lease.viewSeen, laggards) } satisfies contracts.ControlEvent)
+      const update = machine.documentUpdate(lease.documentVersion)
+      if (update !== undefined && leases.has(id)) lease.link.send({ t: 'document', document: update } satisfies contracts.ControlEvent)
     }
   }
 
-  const queuePush = (): void => { pushTimer ??= setTimeout(push, PUSH_MS) }
+  const schedulePush = (): void => { pushTimer ??= setTimeout(push, PUSH_DELAY_MS) }
 
   const pushPools = (): void => {
     poolTimer = undefined
     if (!isReady()) return
-    const all = toPools(undefined)
-    const isChanged = all.some(item => Math.abs(item.load - (pushedLoad.get(item.pool) ?? 0)) > Math.max(0, POOL_CHANGE * item.load))
+    const all = sumPoolLoads(undefined)
+    const isChanged = all.some(item => Math.abs(item.load - (pushedLoads.get(item.pool) ?? 0)) > Math.max(0, MIN_POOL_LOAD_CHANGE_RATIO * item.load))
     if (!isChanged) return
-    pushedLoad = new Map(all.map(item => [item.pool, item.load]))
-    for (const [id, row] of rows) {
-      if (row.link?.isOpen() === true) row.link.send({ t: 'pools', pools: toPools(id) } satisfies contracts.ControlEvent)
+    pushedLoads = new Map(all.map(item => [item.pool, item.load]))
+    for (const [id, lease] of leases) {
+      if (lease.link?.isOpen() === true) lease.link.send({ t: 'pools', pools: sumPoolLoads(id) } satisfies contracts.ControlEvent)
     }
   }
 
-  const queuePoolPush = (isUrgent: boolean): void => {
+  const schedulePoolPush = (isUrgent: boolean): void => {
     if (poolTimer !== undefined && (!isUrgent || isPoolPushUrgent)) return
     clearTimeout(poolTimer)
     isPoolPushUrgent = isUrgent
-    poolTimer = setTimeout(pushPools, isUrgent ? URGENT_POOL_PUSH_MS : POOL_PUSH_MS)
+    poolTimer = setTimeout(pushPools, isUrgent ? URGENT_POOL_PUSH_DELAY_MS : POOL_PUSH_DELAY_MS)
   }
 
-  const noteSeen = (row: Row, viewSeen: number, documentVersion: number): void => {
-    const wasBehind = row.viewSeen < machine.view()
-    row.viewSeen = Math.max(row.viewSeen, viewSeen)
-    row.documentVersion = Math.max(row.documentVersion, documentVersion)
+  const updateSeenVersions = (lease: Lease, viewSeen: number, documentVersion: number): void => {
+    const wasBehind = lease.viewSeen < machine.view()
+    lease.viewSeen = Math.max(lease.viewSeen, viewSeen)
+    lease.documentVersion = Math.max(lease.documentVersion, documentVersion)
     // The last one to see a view settles it for all: new owners wait for that.
-    if (wasBehind && laggards().length === 0) queuePush()
+    if (wasBehind && listLaggards().length === 0) schedulePush()
   }
 
-  const renew: Leases['renew'] = async (call, link) => {
+  const renew: LeaseTable['renew'] = async (call, link) => {
     if (!isReady()) return notLeader()
     const { id } = call
     let { incarnation } = call
@@ -195,31 +195,31 @@
       incarnation = call.instance === undefined ? 0 : await join(call.instance)
       if (incarnation === 0) return { t: 'lapsed', incarnation: 0 }
     }
-    const known = machine.find(id)
-    const row = rows.get(id)
-    if (known?.incarnation !== incarnation || row?.isRemoved === true) return { t: 'lapsed', incarnation: call.incarnation }
-    if (call.leaving && !known.leaving) await propose({ t: 'leaving', id, incarnation })
+    const member = machine.find(id)
+    const current = leases.get(id)
+    if (member?.incarnation !== incarnation || current?.isRemoved === true) return { t: 'lapsed', incarnation: call.incarnation }
+    if (call.leaving && !member.leaving) await propose({ t: 'leaving', id, incarnation })
     // Checked again after every wait: a leader may grant only while nobody else can lead.
     if (!isReady()) return notLeader()
-    const held = ensureRow(id, incarnation)
-    if (held.isRemoved) return { t: 'lapsed', incarnation: call.incarnation }
-    held.expiresAt = toExpiry()
-    held.link = link
-    held.loads = call.loads
-    noteSeen(held, call.viewSeen, call.documentVersion)
+    const lease = ensureLease(id, incarnation)
+    if (lease.isRemoved) return { t: 'lapsed', incarnation: call.incarnation }
+    lease.expiresAt = toExpiry()
+    lease.link = link
+    lease.loads = call.loads
+    updateSeenVersions(lease, call.viewSeen, call.documentVersion)
     rates.add(call.demand)
     return {
       t: 'lease',
       leaseMs: contracts.LEASE_MS,
       incarnation,
-      view: machine.viewUpdate(call.viewSeen, laggards()),
+      view: machine.viewUpdate(call.viewSeen, listLaggards()),
       document: machine.documentUpdate(call.documentVersion),
-      pools: toPools(id),
-      limits: toLimits(call.demand)
+      pools: sumPoolLoads(id),
+      limits: toRateLimits(call.demand)
     }
   }
 
-  const timer = setInterval(() => { expire().catch(() => {}) }, EXPIRE_MS)
+  const timer = setInterval(() => { expire().catch(() => {}) }, EXPIRY_CHECK_INTERVAL_MS)
 
   return {
     renew,
@@ -230,25 +230,25 @@
     },
     onEvent (event) {
       if (event.t !== 'loads' && event.t !== 'viewSeen') return
-      const row = rows.get(event.instance)
-      if (row === undefined || row.incarnation !== event.incarnation) return
-      if (event.t === 'viewSeen') noteSeen(row, event.viewSeen, event.documentVersion)
+      const lease = leases.get(event.instance)
+      if (lease === undefined || lease.incarnation !== event.incarnation) return
+      if (event.t === 'viewSeen') updateSeenVersions(lease, event.viewSeen, event.documentVersion)
       else {
-        row.loads = event.loads
-        queuePoolPush(event.isUrgent)
+        lease.loads = event.loads
+        schedulePoolPush(event.isUrgent)
       }
     },
-    onLeadership (isLeader) {
-      rows.clear()
+    onLeadershipChange (isLeader) {
+      leases.clear()
       if (!isLeader) return
-      for (const instance of machine.instances()) ensureRow(instance.id, instance.incarnation)
+      for (const instance of machine.instances()) ensureLease(instance.id, instance.incarnation)
     },
-    onChange: queuePush,
+    onStateChange: schedulePush,
     toStatus: () => machine.instances().map(instance => {
-      const row = rows.get(instance.id)
-      return { ...instance, documentVersion: row?.documentVersion ?? 0, viewSeen: row?.viewSeen ?? 0, leaseMsLeft: Math.round((row?.expiresAt ?? 0) - performance.now()) }
+      const lease = leases.get(instance.id)
+      return { ...instance, documentVersion: lease?.documentVersion ?? 0, viewSeen: lease?.viewSeen ?? 0, leaseMsLeft: Math.round((lease?.expiresAt ?? 0) - performance.now()) }
     }),
-    pools: () => toPools(undefined),
+    toPoolLoads: () => sumPoolLoads(undefined),
     stop () {
       clearInterval(timer)
       clearTimeout(pushTimer)
--- a/packages/control/src/operatorServer.ts
+++ b/packages/control/src/operatorServer.ts
@@ -24,7 +24,7 @@
 /** The running server. */
 export interface OperatorServer { readonly url: string, close (): Promise<void> }
 
-const CALL_MS = 6000
+const CALL_TIMEOUT_MS = 6000
 
 /**
  * Starts the server.
@@ -33,7 +33,7 @@
  * @returns the server
  */
 export async function startOperatorServer (address: string, opts: OperatorServerOptions): Promise<OperatorServer> {
-  const server = http.createServer({ requestTimeout: 30_000, headersTimeout: 10_000 }, (req, res) => { void serve(opts, req, res) })
+  const server = http.createServer({ requestTimeout: 30_000, headersTimeout: 10_000 }, (req, res) => { void handleRequest(opts, req, res) })
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
     server.listen(links.parseAddress(address), resolve)
@@ -49,7 +49,7 @@
   }
 }
 
-async function serve (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
+async function handleRequest (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
   try {
     await route(opts, req, res)
   } catch (err) {
@@ -57,7 +57,7 @@
       ? { kind: 'ledger_unavailable' as const, ran: 'unknown' as const, retryAfterMs: 2000 }
       : contracts.toFailure(err)
     if (failure.kind === 'internal') opts.log.event('uncaught', { detail: err instanceof Error ? err.stack ?? '' : String(err) })
-    if (!res.headersSent) send(res, contracts.toStatus(failure), contracts.toErrorBody(failure), req.complete)
+    if (!res.headersSent) sendJson(res, contracts.toStatus(failure), contracts.toErrorBody(failure), req.complete)
   }
 }
 
@@ -70,12 +70,12 @@
     return
   }
   switch (`${req.method ?? 'GET'} ${url.pathname}`) {
-    case 'GET /health': send(res, 200, { ok: true, documentVersion: opts.machine.version(), view: opts.machine.view(), ...opts.toHealth() }); return
+    case 'GET /health': sendJson(res, 200, { ok: true, documentVersion: opts.machine.version(), view: opts.machine.view(), ...opts.toHealth() }); return
     case 'GET /metrics':
       res.writeHead(200, { 'content-type': opts.registry.contentType })
       res.end(await opts.registry.metrics())
       return
-    case 'GET /v1/schema': send(res, 200, consolePages.toDocumentSchema()); return
+    case 'GET /v1/schema': sendJson(res, 200, consolePages.toDocumentSchema()); return
     case 'GET /v1/config': await getDocument(opts, req, res); return
     case 'PUT /v1/config': await putDocument(opts, req, res, url); return
     case 'POST /v1/config/check': await checkDocument(opts, req, res); return
@@ -86,19 +86,19 @@
   }
 }
 
-function send (res: http.ServerResponse, status: number, body: unknown, isComplete = true): void {
+function sendJson (res: http.ServerResponse, status: number, body: unknown, isComplete = true): void {
   res.writeHead(status, { 'content-type': 'application/json', ...(isComplete ? {} : { connection: 'close' }) })
   res.end(JSON.stringify(body))
 }
 
 /** @returns the operator's id. @throws FailureError `unauthenticated` */
-function toOperator (opts: OperatorServerOptions, req: http.IncomingMessage): string {
+function authenticateOperator (opts: OperatorServerOptions, req: http.IncomingMessage): string {
   // A replica that is still behind does not know the tokens: that says nothing about the operator's.
   if (opts.machine.document() === null) throw new contracts.FailureError({ kind: 'not_serving', detail: 'it has not got the configuration yet', addresses: [], retryAfterMs: 1000 })
   const header = req.headers.authorization ?? ''
   const digest = contracts.sha256(header.startsWith('Bearer ') ? header.slice(7, 600) : '')
   for (const [id, spec] of Object.entries(opts.machine.document()?.operators ?? {})) {
-    if (spec.tokens.some(known => contracts.isSameSecret(known, digest))) return id
+    if (spec.tokens.some(tokenDigest => contracts.isSameSecret(tokenDigest, digest))) return id
   }
   throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The token is not that of an operator' })
 }
@@ -119,26 +119,26 @@
 }
 
 async function getDocument (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-  toOperator(opts, req)
-  const reply = await opts.client.call('fleet', { t: 'documentGet' }, CALL_MS)
+  authenticateOperator(opts, req)
+  const reply = await opts.client.call('fleet', { t: 'documentGet' }, CALL_TIMEOUT_MS)
   if (reply.t !== 'document') throw new Error(`unexpected reply ${reply.t}`)
-  send(res, 200, { version: reply.version, document: reply.document })
+  sendJson(res, 200, { version: reply.version, document: reply.document })
 }
 
 /** `PUT /v1/config?base=<version>&operation=<id>`: a resend with the same operation id gets the first answer. */
 async function putDocument (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse, url: URL): Promise<void> {
-  const operator = toOperator(opts, req)
+  const operator = authenticateOperator(opts, req)
   const baseVersion = Number(url.searchParams.get('base') ?? NaN)
   const operation = url.searchParams.get('operation') ?? ''
   if (!Number.isInteger(baseVersion) || operation === '' || operation.length > 100) {
     throw new contracts.FailureError({ kind: 'bad_request', detail: 'Name the version that the document is based on and an id of this operation: PUT /v1/config?base=<version>&operation=<id>.' })
   }
-  const reply = await opts.client.call('fleet', { t: 'documentPut', operator, operation, baseVersion, document: await readDocument(req) }, CALL_MS)
+  const reply = await opts.client.call('fleet', { t: 'documentPut', operator, operation, baseVersion, document: await readDocument(req) }, CALL_TIMEOUT_MS)
   switch (reply.t) {
-    case 'put': send(res, 200, { version: reply.version }); return
+    case 'put': sendJson(res, 200, { version: reply.version }); return
     case 'conflict': {
       const failure: contracts.Failure = { kind: 'conflict', baseVersion, currentVersion: reply.currentVersion }
-      send(res, 409, { ...contracts.toErrorBody(failure), current: { version: reply.currentVersion, document: reply.document } })
+      sendJson(res, 409, { ...contracts.toErrorBody(failure), current: { version: reply.currentVersion, document: reply.document } })
       return
     }
     case 'invalid': throw new contracts.FailureError({ kind: 'invalid_document', faults: reply.faults })
@@ -147,38 +147,38 @@
 }
 
 async function checkDocument (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-  toOperator(opts, req)
-  const checked = contracts.checkDocument(await readDocument(req))
-  send(res, 200, checked.kind === 'valid' ? { valid: true, faults: [] } : { valid: false, faults: checked.faults })
+  authenticateOperator(opts, req)
+  const validation = contracts.checkDocument(await readDocument(req))
+  sendJson(res, 200, validation.kind === 'valid' ? { valid: true, faults: [] } : { valid: false, faults: validation.faults })
 }
 
 async function getHistory (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-  toOperator(opts, req)
-  const reply = await opts.client.call('fleet', { t: 'documentHistory' }, CALL_MS)
+  authenticateOperator(opts, req)
+  const reply = await opts.client.call('fleet', { t: 'documentHistory' }, CALL_TIMEOUT_MS)
   if (reply.t !== 'history') throw new Error(`unexpected reply ${reply.t}`)
-  send(res, 200, { items: reply.items })
+  sendJson(res, 200, { items: reply.items })
 }
 
 async function getStatus (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-  toOperator(opts, req)
-  const reply = await opts.client.call('fleet', { t: 'status' }, CALL_MS)
+  authenticateOperator(opts, req)
+  const reply = await opts.client.call('fleet', { t: 'status' }, CALL_TIMEOUT_MS)
   if (reply.t !== 'status') throw new Error(`unexpected reply ${reply.t}`)
-  send(res, 200, reply.status)
+  sendJson(res, 200, reply.status)
 }
 
-const OWNER_MS = 1500
-const owned = z.object({ owned: z.array(contracts.endpointStatus) })
+const HEALTH_TIMEOUT_MS = 1500
+const healthBody = z.object({ owned: z.array(contracts.endpointStatus) })
 
 /** The endpoints as their owners show them; those of an instance that does not answer are left out. */
 async function getEndpoints (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-  toOperator(opts, req)
+  authenticateOperator(opts, req)
   const lists = await Promise.all(opts.machine.instances().map(async instance => {
     try {
-      const reply = await undici.request(`${instance.url}/health`, { signal: AbortSignal.timeout(OWNER_MS) })
-      return owned.parse(await reply.body.json()).owned.map(item => ({ ...item, owner: instance.id }))
+      const reply = await undici.request(`${instance.url}/health`, { signal: AbortSignal.timeout(HEALTH_TIMEOUT_MS) })
+      return healthBody.parse(await reply.body.json()).owned.map(item => ({ ...item, owner: instance.id }))
     } catch {
       return []
     }
   }))
-  send(res, 200, { endpoints: lists.flat() })
+  sendJson(res, 200, { endpoints: lists.flat() })
 }
--- a/packages/control/src/replicaGroups.ts
+++ b/packages/control/src/replicaGroups.ts
@@ -10,7 +10,7 @@
 export interface GroupMessage { raft: string, msg: state.Rpc }
 
 /** What groups are built from. */
-export interface GroupOptions {
+export interface ReplicaGroupOptions {
   id: string
   controls: readonly membership.ControlAddress[]
   dataFolder: string
@@ -21,7 +21,7 @@
 }
 
 /** Longer than a sync of the disk under load, shorter than an election. */
-const RPC_MS = 800
+const RPC_TIMEOUT_MS = 800
 
 /**
  * Tells whether a call's body is a message between replicas.
@@ -39,10 +39,10 @@
  * @param opts where its data lives and how peers are reached
  * @param group the group's name
  * @param machine the state that the group replicates
- * @param onLeadership told when this replica starts to lead or stops
+ * @param onLeadershipChange told when this replica starts to lead or stops
  * @returns the replica
  */
-export async function startReplica (opts: GroupOptions, group: string, machine: state.StateMachine, onLeadership: (isLeader: boolean) => void): Promise<state.Replica> {
+export async function startReplica (opts: ReplicaGroupOptions, group: string, machine: state.StateMachine, onLeadershipChange: (isLeader: boolean) => void): Promise<state.Replica> {
   return await state.createReplica({
     group,
     name: opts.id,
@@ -56,17 +56,17 @@
     log: opts.log,
     invariants: opts.invariants,
     snapshotEvery: opts.snapshotEvery,
-    onLeadershipChange: onLeadership
+    onLeadershipChange
   })
 }
 
-function createTransport (opts: GroupOptions, group: string): state.Transport {
+function createTransport (opts: ReplicaGroupOptions, group: string): state.Transport {
   return {
     async call (name, msg) {
       const control = opts.controls.find(item => item.id === name)
       if (control === undefined) throw new Error(`no control instance ${name} in the settings`)
       const link = await opts.peers.get(control.id, control.address)
-      return state.rpcReply.parse(await link.call({ raft: group, msg } satisfies GroupMessage, RPC_MS))
+      return state.rpcReply.parse(await link.call({ raft: group, msg } satisfies GroupMessage, RPC_TIMEOUT_MS))
     }
   }
 }
--- a/packages/kingcupdeck/__tests__/logExplain.test.ts
+++ b/packages/kingcupdeck/__tests__/logExplanation.test.ts
@@ -1,6 +1,6 @@
 /** Causes found from logs alone. The lines are those of real runs, shortened. */
 import * as ava from 'ava'
-import * as logExplains from '../src/logExplain.js'
+import * as logExplanation from '../src/logExplanation.js'
 
 const test = ava.default
 
@@ -11,22 +11,22 @@
 no line of ours
 {"at":"2026-05-12T21:31:31.000Z","instance":"edge-a-1","code":1505,"event":"requestEnded","request":"73db152bbfbb4979","outcome":"504 the time is over","document":16,"waitMs":400,"totalMs":400,"attempts":"i-506d14ffca (near 0/3) lost: the time is over 400"}
 `
-const lines = logExplains.readLines(LOGS)
+const lines = logExplanation.parseLogLines(LOGS)
 
 test('a refused request', t => {
-  t.regex(logExplains.explainRequest(lines, '0cafdd1406e2f2c2').cause, /^refused with 503 before any endpoint was tried: this instance is stopping \(at edge-c-2, document version 16\)/)
+  t.regex(logExplanation.explainRequest(lines, '0cafdd1406e2f2c2').cause, /^refused with 503 before any endpoint was tried: this instance is stopping \(at edge-c-2, document version 16\)/)
 })
 
 test('a request whose endpoint crashed', t => {
-  const { cause, around } = logExplains.explainRequest(lines, 'b7eee138a77447e1')
+  const { cause, around } = logExplanation.explainRequest(lines, 'b7eee138a77447e1')
   t.regex(cause, /502 read ECONNRESET.*found down around then: i-9ef26f47c6 \(connect ECONNREFUSED/)
   t.is(around.length, 1)
 })
 
 test('a request whose endpoint did not answer in time', t => {
-  t.regex(logExplains.explainRequest(lines, '73db152bbfbb4979').cause, /504 the time is over" after 400 of 400 ms; tried: i-506d14ffca/)
+  t.regex(logExplanation.explainRequest(lines, '73db152bbfbb4979').cause, /504 the time is over" after 400 of 400 ms; tried: i-506d14ffca/)
 })
 
 test('a request that no instance knows', t => {
-  t.regex(logExplains.explainRequest(lines, 'nobody').cause, /did not arrive/)
+  t.regex(logExplanation.explainRequest(lines, 'nobody').cause, /did not arrive/)
 })
--- a/packages/kingcupdeck/__tests__/settings.test.ts
+++ b/packages/kingcupdeck/__tests__/settings.test.ts
@@ -10,10 +10,10 @@
 const test = ava.default
 const ROOT = path.resolve(path.dirname(url.fileURLToPath(import.meta.url)), '../../../..')
 
-const good = { id: 'r1', zone: 'a', listen: '127.0.0.1:0', 'peer-listen': '127.0.0.1:0', control: 'c1=127.0.0.1:1,c2=127.0.0.1:2', 'fleet-secret': 'sixteen-characters' }
+const VALID_FLAGS = { id: 'r1', zone: 'a', listen: '127.0.0.1:0', 'peer-listen': '127.0.0.1:0', control: 'c1=127.0.0.1:1,c2=127.0.0.1:2', 'fleet-secret': 'sixteen-characters' }
 
 test('good settings pass, with defaults filled in', t => {
-  const checked = program.checkSettings(program.routerSettings, good, {})
+  const checked = program.checkSettings(program.routerSettings, VALID_FLAGS, {})
   t.is(checked.kind, 'valid')
   if (checked.kind !== 'valid') return
   t.deepEqual(checked.values.control, [{ id: 'c1', address: '127.0.0.1:1' }, { id: 'c2', address: '127.0.0.1:2' }])
@@ -22,12 +22,12 @@
 })
 
 test('a flag goes before its environment variable', t => {
-  const checked = program.checkSettings(program.routerSettings, { ...good, zone: undefined }, { KINGCUPDECK_ZONE: 'b', KINGCUPDECK_ID: 'r9' })
+  const checked = program.checkSettings(program.routerSettings, { ...VALID_FLAGS, zone: undefined }, { KINGCUPDECK_ZONE: 'b', KINGCUPDECK_ID: 'r9' })
   t.deepEqual(checked.kind === 'valid' ? [checked.values.zone, checked.values.id] : [], ['b', 'r1'])
 })
 
 test('all faults come at once, with flag, value, what is allowed and the remedy, and no secret', t => {
-  const checked = program.checkSettings(program.routerSettings, { ...good, listen: 'localhost:80', policy: 'best', 'fleet-secret': 'short', id: undefined }, {})
+  const checked = program.checkSettings(program.routerSettings, { ...VALID_FLAGS, listen: 'localhost:80', policy: 'best', 'fleet-secret': 'short', id: undefined }, {})
   const faults = checked.kind === 'invalid' ? checked.faults : []
   t.is(faults.length, 4)
   t.true(faults.some(fault => fault.startsWith('--listen is "localhost:80"') && fault.includes('ip:port') && fault.includes('KINGCUPDECK_LISTEN')))
--- a/packages/kingcupdeck/src/cli.ts
+++ b/packages/kingcupdeck/src/cli.ts
@@ -9,7 +9,7 @@
 
 const json = cmd.flag({ long: 'json', description: 'Print JSON' })
 
-const ROUTER_URL = 'Base URL of a router instance'
+const ROUTER_URL_DESCRIPTION = 'Base URL of a router instance'
 
 /** Makes a flag for each setting. */
 function toFlags (list: Record<string, settings.Setting>, addressDescription?: string) {
@@ -24,7 +24,7 @@
 async function withSettings<T extends Record<string, settings.Setting>> (list: T, flags: Record<string, unknown>, run: (values: settings.Values<T>) => Promise<exitCodes.ExitCode | undefined>): Promise<void> {
   const checked = settings.checkSettings(list, flags as Record<string, string | undefined>, process.env)
   if (checked.kind === 'invalid') {
-    for (const fault of checked.faults) output.printNote(fault)
+    for (const fault of checked.faults) output.printDiagnostic(fault)
     process.exitCode = exitCodes.ExitCode.usage
     return
   }
@@ -33,7 +33,7 @@
 }
 
 const operatorFlags = toFlags(settings.operatorSettings)
-const routerFlags = toFlags(settings.operatorSettings, ROUTER_URL)
+const routerFlags = toFlags(settings.operatorSettings, ROUTER_URL_DESCRIPTION)
 
 const router = cmd.command({
   name: 'router',
--- a/packages/kingcupdeck/src/configCommands.ts
+++ b/packages/kingcupdeck/src/configCommands.ts
@@ -9,8 +9,8 @@
 /** What putting a document takes. */
 export interface PutOptions { target: operatorClient.OperatorTarget, file: string, base: number | undefined, operation: string | undefined, isWaiting: boolean, json: boolean }
 
-const WAIT_MS = 10_000
-const WAIT_LOOK_MS = 100
+const WAIT_TIMEOUT_MS = 10_000
+const WAIT_POLL_INTERVAL_MS = 100
 
 /**
  * `config validate`.
@@ -19,7 +19,7 @@
  * @returns the exit code
  */
 export function validate (file: string, json: boolean): exitCodes.ExitCode {
-  const read = readFile(file)
+  const read = readJsonFile(file)
   const faults = read.kind === 'read' ? toFaults(read.value) : [{ path: '(file)', message: read.detail }]
   if (json) output.print(JSON.stringify({ valid: faults.length === 0, faults }))
   else if (faults.length === 0) output.print(`${file} is valid.`)
@@ -32,9 +32,9 @@
   return checked.kind === 'valid' ? [] : checked.faults
 }
 
-type ReadFile = { kind: 'read', value: unknown } | { kind: 'unreadable', detail: string }
+type ReadResult = { kind: 'read', value: unknown } | { kind: 'unreadable', detail: string }
 
-function readFile (file: string): ReadFile {
+function readJsonFile (file: string): ReadResult {
   try {
     return { kind: 'read', value: JSON.parse(fs.readFileSync(file, 'utf8')) }
   } catch (err) {
@@ -53,7 +53,7 @@
   if (reply.kind !== 'ok') return output.printFailure(reply, json)
   if (json) output.print(JSON.stringify(reply.body))
   else {
-    output.printNote(`version ${reply.body.version}`)
+    output.printDiagnostic(`version ${reply.body.version}`)
     output.print(JSON.stringify(reply.body.document, null, 2))
   }
   return exitCodes.ExitCode.done
@@ -65,32 +65,32 @@
  * @returns the exit code
  */
 export async function put (opts: PutOptions): Promise<exitCodes.ExitCode> {
-  const read = readFile(opts.file)
+  const read = readJsonFile(opts.file)
   const faults = read.kind === 'read' ? toFaults(read.value) : [{ path: '(file)', message: read.detail }]
   if (read.kind !== 'read' || faults.length > 0) return validate(opts.file, opts.json)
   if (opts.base === undefined || !Number.isInteger(opts.base)) {
-    output.printNote('--base is missing or no whole number. Name the version that your document was made from ("config get" shows it).')
+    output.printDiagnostic('--base is missing or no whole number. Name the version that your document was made from ("config get" shows it).')
     return exitCodes.ExitCode.usage
   }
   const operation = opts.operation ?? crypto.randomUUID()
   const reply = await operatorClient.callOperatorApi<{ version: number }>(opts.target, 'PUT', `/v1/config?base=${opts.base}&operation=${encodeURIComponent(operation)}`, read.value)
-  if (reply.kind === 'unreachable') output.printNote(`The answer was lost. Send again with --operation ${operation}: it will not be applied twice.`)
+  if (reply.kind === 'unreachable') output.printDiagnostic(`The answer was lost. Send again with --operation ${operation}: it will not be applied twice.`)
   if (reply.kind !== 'ok') return output.printFailure(reply, opts.json)
   const { version } = reply.body
-  const behind = opts.isWaiting ? await waitInForce(opts.target, version) : undefined
+  const behind = opts.isWaiting ? await waitUntilInForce(opts.target, version) : undefined
   if (opts.json) output.print(JSON.stringify({ version, operation, behind }))
   else output.print(`Version ${version} is accepted${behind === undefined ? '' : behind.length === 0 ? ' and in force on every instance' : `; not in force yet on ${behind.join(', ')}`}.`)
   return behind !== undefined && behind.length > 0 ? exitCodes.ExitCode.failed : exitCodes.ExitCode.done
 }
 
 /** @returns the instances that do not have the version after a while */
-async function waitInForce (target: operatorClient.OperatorTarget, version: number): Promise<string[]> {
-  const deadline = Date.now() + WAIT_MS
+async function waitUntilInForce (target: operatorClient.OperatorTarget, version: number): Promise<string[]> {
+  const deadline = Date.now() + WAIT_TIMEOUT_MS
   while (true) {
     const reply = await operatorClient.callOperatorApi<contracts.FleetStatus>(target, 'GET', '/v1/status')
     const behind = reply.kind === 'ok' ? reply.body.instances.filter(item => item.documentVersion < version).map(item => item.id) : ['(status unknown)']
     if (behind.length === 0 || Date.now() > deadline) return behind
-    await new Promise(resolve => setTimeout(resolve, WAIT_LOOK_MS))
+    await new Promise(resolve => setTimeout(resolve, WAIT_POLL_INTERVAL_MS))
   }
 }
 
--- a/packages/kingcupdeck/src/daemons.ts
+++ b/packages/kingcupdeck/src/daemons.ts
@@ -16,8 +16,8 @@
  * @param values checked settings
  */
 export async function runRouter (values: RouterValues): Promise<void> {
-  const log = toLog(values)
-  catchAll(log)
+  const log = createLog(values)
+  exitOnUncaughtError(log)
   const instance = await router.createRouter({
     id: values.id,
     zone: values.zone,
@@ -43,8 +43,8 @@
  * @param values checked settings
  */
 export async function runControl (values: ControlValues): Promise<void> {
-  const log = toLog(values)
-  catchAll(log)
+  const log = createLog(values)
+  exitOnUncaughtError(log)
   const instance = await control.createControl({
     id: values.id,
     listen: values.listen,
@@ -61,7 +61,7 @@
   stopOnSignal(log, instance.shutdown)
 }
 
-function toLog (values: RouterValues | ControlValues): telemetry.Log {
+function createLog (values: RouterValues | ControlValues): telemetry.Log {
   return telemetry.createLog({ instance: values.id, json: values['log-json'], level: values['log-level'] })
 }
 
@@ -86,7 +86,7 @@
 }
 
 /** The one handler that every error reaches which nobody else took. */
-function catchAll (log: telemetry.Log): void {
+function exitOnUncaughtError (log: telemetry.Log): void {
   const fail = (err: unknown): void => {
     log.event('uncaught', { detail: err instanceof Error ? err.stack ?? err.message : String(err) })
     process.exitCode = exitCodes.ExitCode.failed
--- a/packages/kingcupdeck/src/fleetCommands.ts
+++ b/packages/kingcupdeck/src/fleetCommands.ts
@@ -2,7 +2,7 @@
 import * as fs from 'node:fs'
 import * as contracts from '@kingcupdeck/contracts'
 import * as exitCodes from './exitCodes.js'
-import * as logExplains from './logExplain.js'
+import * as logExplanation from './logExplanation.js'
 import * as operatorClient from './operatorClient.js'
 import * as output from './output.js'
 
@@ -54,14 +54,14 @@
  * @returns the exit code
  */
 export function explainLogs (request: string, files: readonly string[], json: boolean): exitCodes.ExitCode {
-  let lines: logExplains.LogLine[]
+  let lines: logExplanation.LogLine[]
   try {
-    lines = files.flatMap(file => logExplains.readLines(fs.readFileSync(file, 'utf8')))
+    lines = files.flatMap(file => logExplanation.parseLogLines(fs.readFileSync(file, 'utf8')))
   } catch (err) {
-    output.printNote(`${err instanceof Error ? err.message : String(err)}: name readable log files`)
+    output.printDiagnostic(`${err instanceof Error ? err.message : String(err)}: name readable log files`)
     return exitCodes.ExitCode.usage
   }
-  const found = logExplains.explainRequest(lines, request)
+  const found = logExplanation.explainRequest(lines, request)
   if (json) output.print(JSON.stringify(found))
   else {
     output.print(found.cause)
@@ -85,7 +85,7 @@
   if (json) output.print(JSON.stringify(reply.body))
   else {
     for (const item of reply.body.addresses) output.print(`${item.url}  ${item.instance}  zone ${item.zone}`)
-    output.printNote(`keep for ${reply.body.maxAgeSeconds} s`)
+    output.printDiagnostic(`keep for ${reply.body.maxAgeSeconds} s`)
   }
   return exitCodes.ExitCode.done
 }
--- a/packages/kingcupdeck/src/logExplain.ts
+++ b/packages/kingcupdeck/src/logExplanation.ts
@@ -1,9 +1,9 @@
 /** Finds the cause of a failed request in the logs of several instances, joined by the request's id. */
 import * as z from 'zod'
 
-const line = z.looseObject({ at: z.string(), instance: z.string(), event: z.string() })
+const logLine = z.looseObject({ at: z.string(), instance: z.string(), event: z.string() })
 /** A line of a log. */
-export type LogLine = z.infer<typeof line>
+export type LogLine = z.infer<typeof logLine>
 
 /** What the logs say of a request. */
 export interface Explanation {
@@ -16,19 +16,19 @@
 }
 
 /** Events this long before and after a request are shown with it. */
-const AROUND_MS = 10_000
+const CONTEXT_WINDOW_MS = 10_000
 
 /**
  * Reads log lines; text that is no line of ours is passed over.
  * @param text the content of a log, which may have something before each line
  * @returns the lines
  */
-export function readLines (text: string): LogLine[] {
+export function parseLogLines (text: string): LogLine[] {
   return text.split('\n').flatMap(raw => {
     const from = raw.indexOf('{')
     if (from < 0) return []
     try {
-      const parsed = line.safeParse(JSON.parse(raw.slice(from)))
+      const parsed = logLine.safeParse(JSON.parse(raw.slice(from)))
       return parsed.success ? [parsed.data] : []
     } catch {
       return []
@@ -49,22 +49,22 @@
   const at = Date.parse(last.at)
   const endpoints = toText(last.attempts).split('; ').map(item => item.split(' ')[0]).filter(item => item !== '')
   const around = lines
-    .filter(item => Math.abs(Date.parse(item.at) - at) < AROUND_MS && (endpoints.includes(toText(item.endpoint)) || endpoints.includes(toText(item.id)) || isOfInstance(item, last.instance)))
+    .filter(item => Math.abs(Date.parse(item.at) - at) < CONTEXT_WINDOW_MS && (endpoints.includes(toText(item.endpoint)) || endpoints.includes(toText(item.id)) || isInstanceEvent(item, last.instance)))
     .sort(byTime)
   return { own, around, cause: toCause(last, around) }
 }
 
 function toCause (last: LogLine, around: readonly LogLine[]): string {
-  const where = `at ${last.instance}, document version ${toText(last.document) || 'none'}`
-  if (last.event === 'requestRefused') return `refused with ${toText(last.status)} before any endpoint was tried: ${toText(last.why)} (${where})`
+  const location = `at ${last.instance}, document version ${toText(last.document) || 'none'}`
+  if (last.event === 'requestRefused') return `refused with ${toText(last.status)} before any endpoint was tried: ${toText(last.why)} (${location})`
   const outcome = toText(last.outcome)
   const tried = toText(last.attempts) === '' ? 'no endpoint was tried' : `tried: ${toText(last.attempts)}`
-  const down = around.filter(item => item.event === 'endpointGone').map(item => `${toText(item.endpoint)} (${toText(item.why)})`)
-  const also = down.length === 0 ? '' : `; found down around then: ${[...new Set(down)].join(', ')}`
-  return `ended with "${outcome}" after ${toText(last.totalMs)} of ${toText(last.waitMs)} ms; ${tried}${also} (${where})`
+  const downEndpoints = around.filter(item => item.event === 'endpointGone').map(item => `${toText(item.endpoint)} (${toText(item.why)})`)
+  const downSuffix = downEndpoints.length === 0 ? '' : `; found down around then: ${[...new Set(downEndpoints)].join(', ')}`
+  return `ended with "${outcome}" after ${toText(last.totalMs)} of ${toText(last.waitMs)} ms; ${tried}${downSuffix} (${location})`
 }
 
-function isOfInstance (item: LogLine, instance: string): boolean {
+function isInstanceEvent (item: LogLine, instance: string): boolean {
   return item.instance === instance && ['controlLost', 'controlFound', 'documentInForce', 'stopping', 'started', 'linesDropped', 'uncaught'].includes(item.event)
 }
 
--- a/packages/kingcupdeck/src/main.ts
+++ b/packages/kingcupdeck/src/main.ts
@@ -7,6 +7,6 @@
 process.stdout.on('error', err => { if ((err as NodeJS.ErrnoException).code !== 'EPIPE') throw err })
 
 cli.runCli(process.argv.slice(2)).catch(err => {
-  output.printNote(err instanceof Error ? err.message : String(err))
+  output.printDiagnostic(err instanceof Error ? err.message : String(err))
   process.exit(exitCodes.ExitCode.failed)
 })
--- a/packages/kingcupdeck/src/operatorClient.ts
+++ b/packages/kingcupdeck/src/operatorClient.ts
@@ -8,7 +8,7 @@
 /** Where and as whom an operator calls. */
 export interface OperatorTarget { address: string, token: string }
 
-const CALL_MS = 10_000
+const CALL_TIMEOUT_MS = 10_000
 
 /**
  * Calls a control instance.
@@ -24,7 +24,7 @@
       method,
       headers: { authorization: `Bearer ${target.token}`, 'content-type': 'application/json' },
       body: body === undefined ? null : JSON.stringify(body),
-      signal: AbortSignal.timeout(CALL_MS)
+      signal: AbortSignal.timeout(CALL_TIMEOUT_MS)
     })
     const answer = await res.body.json() as Record<string, unknown>
     if (res.statusCode < 300) return { kind: 'ok', body: answer as T }
--- a/packages/kingcupdeck/src/output.ts
+++ b/packages/kingcupdeck/src/output.ts
@@ -14,7 +14,7 @@
  * Prints a remark.
  * @param line one line or more
  */
-export function printNote (line: string): void {
+export function printDiagnostic (line: string): void {
   process.stderr.write(line + '\n')
 }
 
@@ -27,11 +27,11 @@
 export function printFailure (reply: Exclude<operatorClient.OperatorReply<unknown>, { kind: 'ok' }>, json: boolean): exitCodes.ExitCode {
   if (reply.kind === 'unreachable') {
     if (json) print(JSON.stringify({ error: { type: 'unreachable', message: reply.detail } }))
-    else printNote(`No answer: ${reply.detail}. Check --address, and that a quorum of control instances is up.`)
+    else printDiagnostic(`No answer: ${reply.detail}. Check --address, and that a quorum of control instances is up.`)
     return exitCodes.ExitCode.unreachable
   }
   if (json) print(JSON.stringify(reply.body))
-  else printNote(reply.error.message)
+  else printDiagnostic(reply.error.message)
   if (reply.error.type === 'conflict') return exitCodes.ExitCode.conflict
   if (reply.error.type === 'invalid_document' || reply.error.type === 'bad_request') return exitCodes.ExitCode.usage
   return reply.status === 503 ? exitCodes.ExitCode.unreachable : exitCodes.ExitCode.failed
--- a/packages/kingcupdeck/src/settings.ts
+++ b/packages/kingcupdeck/src/settings.ts
@@ -3,19 +3,19 @@
 import * as routing from '@kingcupdeck/routing'
 
 const IP_PORT = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/
-const name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,40}$/)
+const instanceName = z.string().regex(/^[a-z0-9][a-z0-9-]{0,40}$/)
 const ipPort = z.string().regex(IP_PORT)
-const flag = z.enum(['true', 'false']).transform(value => value === 'true')
+const booleanText = z.enum(['true', 'false']).transform(value => value === 'true')
 const wholeNumber = z.string().regex(/^\d+$/).transform(Number)
 
 /** The `id=ip:port` list that names the control instances. */
-const controls = z.string().transform((text, ctx) => {
+const controlList = z.string().transform((text, ctx) => {
   const list = text.split(',').map(item => {
     const [id, address] = item.trim().split('=')
     return { id, address }
   })
-  const isGood = list.every(item => name.safeParse(item.id).success && ipPort.safeParse(item.address).success)
-  if (!isGood) ctx.addIssue({ code: 'custom', message: 'list' })
+  const isValid = list.every(item => instanceName.safeParse(item.id).success && ipPort.safeParse(item.address).success)
+  if (!isValid) ctx.addIssue({ code: 'custom', message: 'list' })
   return list
 })
 
@@ -31,18 +31,18 @@
   isSecret?: boolean
 }
 
-const setting = <S extends z.ZodType>(schema: S, allowed: string, description: string, more: { fallback?: string, isSecret?: boolean } = {}): Setting<S> => ({ schema, allowed, description, ...more })
+const setting = <S extends z.ZodType>(schema: S, allowed: string, description: string, extra: { fallback?: string, isSecret?: boolean } = {}): Setting<S> => ({ schema, allowed, description, ...extra })
 
 const common = {
-  id: setting(name, 'lower-case letters, digits and dashes, at most 41', 'Name of this instance, unique in the fleet'),
+  id: setting(instanceName, 'lower-case letters, digits and dashes, at most 41', 'Name of this instance, unique in the fleet'),
   listen: setting(ipPort, 'ip:port, by number; port 0 takes a free one', 'Where callers and operators connect'),
   'peer-listen': setting(ipPort, 'ip:port, by number; port 0 takes a free one', 'Where other instances connect'),
-  control: setting(controls, 'id=ip:port for each control instance, separated by commas', 'The control instances'),
+  control: setting(controlList, 'id=ip:port for each control instance, separated by commas', 'The control instances'),
   'fleet-secret': setting(z.string().min(16).max(200), '16 to 200 characters', 'Secret that every instance of the fleet must know', { isSecret: true }),
   'ledger-groups': setting(wholeNumber.pipe(z.number().min(1).max(64)), 'a whole number from 1 to 64, the same on all instances', 'Number of groups that the ledger is divided into', { fallback: '1' }),
-  'log-json': setting(flag, 'true or false', 'Log one JSON object a line', { fallback: 'false' }),
+  'log-json': setting(booleanText, 'true or false', 'Log one JSON object a line', { fallback: 'false' }),
   'log-level': setting(z.enum(['error', 'warn', 'info', 'silent']), 'error, warn, info or silent', 'Least grave events to log', { fallback: 'info' }),
-  'fatal-invariants': setting(flag, 'true or false', 'End the process when an invariant is broken (for tests)', { fallback: 'false' })
+  'fatal-invariants': setting(booleanText, 'true or false', 'End the process when an invariant is broken (for tests)', { fallback: 'false' })
 }
 
 /** Settings of a router instance. */
@@ -53,7 +53,7 @@
   'advertise-peer': setting(z.union([ipPort, z.literal('')]), 'ip:port, or nothing', 'Address that peers are told; from --peer-listen when empty', { fallback: '' }),
   'max-body-bytes': setting(wholeNumber.pipe(z.number().min(1024).max(15_000_000)), 'a whole number from 1024 to 15000000', 'Largest request body, bytes', { fallback: '4194304' }),
   policy: setting(z.enum(routing.PLACEMENT_POLICIES), routing.PLACEMENT_POLICIES.join(', '), 'Placement policy; all but "owner" are baselines for measurements', { fallback: 'owner' }),
-  'kv-import': setting(flag, 'true or false', 'Let a chat that runs away from its cache take it along', { fallback: 'true' })
+  'kv-import': setting(booleanText, 'true or false', 'Let a chat that runs away from its cache take it along', { fallback: 'true' })
 }
 
 /** Settings of a control instance. */
