--- a/packages/console/src/index.ts
+++ b/packages/console/src/index.ts
@@ -1,2 +1,2 @@
-/** Public face of the console: its pages, and the schema that its forms are made from. */
+/** Public entry point: the console pages and the JSON schema that its forms are generated from. */
 export * from './pages.js'
--- a/packages/console/src/markup.ts
+++ b/packages/console/src/markup.ts
@@ -1,4 +1,4 @@
-/** The one page of the console; all its parts are made by the script from the schema and the document. */
+/** HTML of the console's single page. The script generates its content from the schema and the configuration document. */
 export const MARKUP = `<!doctype html>
 <html lang="en">
 <head>
@@ -10,12 +10,12 @@
 <body>
 <header>
   <h1>kingcupdeck</h1>
-  <nav aria-label="Parts of the console" id="tabs" role="tablist"></nav>
+  <nav aria-label="Console sections" id="tabs" role="tablist"></nav>
 </header>
 <main>
   <form id="login">
     <h2>Sign in</h2>
-    <label>Operator's token <input type="password" id="token" autocomplete="off" required></label>
+    <label>Operator token <input type="password" id="token" autocomplete="off" required></label>
     <button type="submit">Sign in</button>
     <p class="fault" id="loginFault" role="alert"></p>
   </form>
@@ -23,15 +23,15 @@
     <p id="state" role="status"></p>
     <section id="panel" tabindex="-1"></section>
     <section id="review" hidden aria-labelledby="reviewTitle">
-      <h2 id="reviewTitle">What you are about to change</h2>
+      <h2 id="reviewTitle">Review changes</h2>
       <div id="diff"></div>
-      <p><button type="button" id="send">Send</button> <button type="button" id="back">Back to the forms</button></p>
+      <p><button type="button" id="send">Submit</button> <button type="button" id="back">Back to editing</button></p>
     </section>
     <section id="conflict" hidden aria-labelledby="conflictTitle">
-      <h2 id="conflictTitle">Someone was faster</h2>
+      <h2 id="conflictTitle">Conflict: the document has changed</h2>
       <p id="conflictText"></p>
       <div id="sides"></div>
-      <p><button type="button" id="rebase">Go on from the other version with my entries</button> <button type="button" id="discard">Take the other version</button></p>
+      <p><button type="button" id="rebase">Apply my changes to the current version</button> <button type="button" id="discard">Discard my changes</button></p>
     </section>
     <footer><button type="button" id="check">Review changes</button></footer>
   </div>
--- a/packages/console/src/pages.ts
+++ b/packages/console/src/pages.ts
@@ -1,11 +1,11 @@
-/** The pages of the operator console, served by every control instance; plain files, nothing to build. */
+/** Static pages of the operator console, served by every control instance. */
 import * as z from 'zod'
 import * as contracts from '@kingcupdeck/contracts'
 import * as markup from './markup.js'
 import * as script from './script.js'
 import * as style from './style.js'
 
-/** A page as it is served. */
+/** Content type and body of a page. */
 export interface Page { contentType: string, body: string }
 
 const PAGES = new Map<string, Page>([
@@ -14,16 +14,12 @@
   ['/console.css', { contentType: 'text/css; charset=utf-8', body: style.STYLE }]
 ])
 
-/**
- * Finds a page by its path.
- * @param path the path of a request
- * @returns the page, or undefined
- */
+/** Returns the page at a request path, or undefined if there is none. */
 export function findPage (path: string): Page | undefined {
   return PAGES.get(path)
 }
 
-/** @returns the document's JSON schema, which the forms are made from */
+/** Returns the JSON schema of the configuration document, from which the console generates its forms. */
 export function toDocumentSchema (): unknown {
   return z.toJSONSchema(contracts.document, { unrepresentable: 'any', io: 'input' })
 }
--- a/packages/console/src/script.ts
+++ b/packages/console/src/script.ts
@@ -1,15 +1,15 @@
-/** The script of the console. It is served as it stands, so it is written for browsers and needs no build. */
+/** Browser script of the console, served without a build step. */
 import * as scriptForms from './scriptForms.js'
 
-/** All of the script. */
+/** Source of `/console.js`. */
 export const SCRIPT = String.raw`'use strict'
 const PARTS = {
   services: 'Services',
   clientAccounts: 'Client accounts',
   priorities: 'Priorities',
   patience: 'Patience windows',
-  models: 'Models, adapters, versions',
-  carriages: 'What engines carry',
+  models: 'Models',
+  carriages: 'Model assignments',
   zones: 'Availability zones',
   operators: 'Operators'
 }
@@ -76,16 +76,16 @@
 
 function drawState () {
   const count = listChanges(app.document, app.draft).length
-  byId('state').textContent = 'Based on version ' + app.base + '. ' + (count === 0 ? 'No changes.' : count + ' change(s) not sent yet.')
+  byId('state').textContent = 'Based on version ' + app.base + '. ' + (count === 0 ? 'No changes.' : count + ' unsubmitted change(s).')
   byId('check').disabled = count === 0
 }
 
-/* ---- forms from the schema ---- */
+/* ---- forms generated from the schema ---- */
 
 function drawPart (part) {
   const itemSchema = resolve(app.schema.properties[part].additionalProperties)
   const entries = Object.entries(app.draft[part]).map(([id, value]) => drawEntry(part, id, value, itemSchema))
-  const name = el('input', { id: 'newId', 'aria-label': 'Id of a new entry', placeholder: 'id of a new entry' })
+  const name = el('input', { id: 'newId', 'aria-label': 'Id of the new entry', placeholder: 'id of the new entry' })
   const add = el('button', { type: 'button', id: 'add', onclick: () => addEntry(part, name.value, itemSchema) }, 'Add')
   byId('panel').replaceChildren(el('h2', {}, PARTS[part]), ...entries, el('div', { class: 'field' }, name, add))
 }
@@ -106,7 +106,7 @@
 }
 
 ${scriptForms.SCRIPT_FORMS}
-/* ---- review, sending, conflicts ---- */
+/* ---- review, submission, conflicts ---- */
 
 function listChanges (from, to) {
   const changes = []
@@ -142,17 +142,17 @@
   }
   byId('panel').hidden = true
   byId('review').hidden = false
-  byId('diff').replaceChildren(...drawSides(listChanges(app.document, app.draft), 'now', 'then'))
+  byId('diff').replaceChildren(...drawSides(listChanges(app.document, app.draft), 'Current', 'Proposed'))
   byId('send').focus()
 }
 
 async function send () {
   const operation = crypto.randomUUID ? crypto.randomUUID() : String(Math.random()).slice(2)
   let reply
-  /* A resend with the same operation is answered like the first: safe after a lost answer. */
+  /* Retries with the same operation id return the original result, so a lost answer can be retried safely. */
   for (let tries = 0; tries < 3 && reply === undefined; tries++) reply = await call('PUT', '/v1/config?base=' + app.base + '&operation=' + operation, app.draft).catch(() => undefined)
   if (reply === undefined) {
-    byId('state').textContent = 'No answer. Nothing is lost: your entries are still here; send again.'
+    byId('state').textContent = 'No answer from the control instance. Your changes are kept; submit again.'
     return
   }
   if (reply.status === 409) {
@@ -165,19 +165,19 @@
   }
   takeDocument(reply.body.version, copy(app.draft))
   show('fleet')
-  byId('state').textContent = 'Version ' + reply.body.version + ' is accepted.'
+  byId('state').textContent = 'Version ' + reply.body.version + ' was accepted.'
 }
 
 function showConflict (current) {
   app.current = current
   byId('review').hidden = true
   byId('conflict').hidden = false
-  byId('conflictText').textContent = 'Yours is based on version ' + app.base + '; in force is ' + current.version + '.'
-  byId('sides').replaceChildren(...drawSides(listChanges(current.document, app.draft), 'in force now', 'yours'))
+  byId('conflictText').textContent = 'Your draft is based on version ' + app.base + '; the current version is ' + current.version + '.'
+  byId('sides').replaceChildren(...drawSides(listChanges(current.document, app.draft), 'Current', 'Your draft'))
   byId('rebase').focus()
 }
 
-/** Puts this operator's own changes on top of the other version. */
+/** Reapplies the changes of this draft to the current version. */
 function rebase () {
   const mine = listChanges(app.document, app.draft)
   const next = copy(app.current.document)
@@ -215,10 +215,10 @@
   byId('panel').replaceChildren(
     el('h2', {}, 'Fleet'),
     el('p', {}, 'Leader ' + fleet.leader + ', term ' + fleet.term + ', document version ' + fleet.documentVersion + ', view ' + fleet.view + '.'),
-    toTable('Instances', ['instance', 'availability zone', 'address', 'document in force', 'view', 'lease left', 'state'], rows),
-    toTable('Endpoints', ['endpoint', 'service', 'availability zone', 'owner', 'state', 'load against cap', 'queued'], endpoints),
-    toTable('Pools', ['service', 'endpoints', 'in flight', 'mean', 'cap for one more'], pools),
-    toTable('Replicas as the leader hosts them', ['group', 'replica', 'role', 'term', 'committed', 'voters', 'learners'], replicas))
+    toTable('Instances', ['instance', 'availability zone', 'address', 'document version', 'view', 'lease remaining', 'state'], rows),
+    toTable('Endpoints', ['endpoint', 'service', 'availability zone', 'owner', 'state', 'load', 'queued'], endpoints),
+    toTable('Pools', ['service', 'endpoints', 'in flight', 'mean load', 'load cap'], pools),
+    toTable('Replicas on the leader', ['group', 'replica', 'role', 'term', 'committed', 'voters', 'learners'], replicas))
 }
 
 function toTable (title, heads, rows) {
--- a/packages/console/src/scriptForms.ts
+++ b/packages/console/src/scriptForms.ts
@@ -1,6 +1,6 @@
-/** The part of the console's script that draws a form for any value of the document's schema. */
+/** Part of the console's script that generates forms from the JSON schema of the configuration document. */
 
-/** Functions that the rest of the script calls. */
+/** Form functions, embedded in the console's script. */
 export const SCRIPT_FORMS = String.raw`function resolve (schema) {
   if (schema.$ref !== undefined) return resolve(schema.$ref.split('/').slice(1).reduce((at, key) => at[key], app.schema))
   return schema
@@ -21,7 +21,7 @@
   }
 }
 
-/** One value: its fields, or a control. Every control writes into the draft as it changes. */
+/** Draws a value as its fields or as a single control. Controls write each change to the draft. */
 function drawValue (value, raw, path, set) {
   const schema = resolve(raw)
   const variants = schema.oneOf || schema.anyOf
@@ -52,7 +52,7 @@
 function drawRecord (value, raw, path) {
   const schema = resolve(raw)
   const fieldsets = Object.keys(value).map(key => el('fieldset', {}, el('legend', {}, key), ...drawValue(value[key], schema, [...path, key], next => { value[key] = next }), el('button', { type: 'button', onclick: () => { delete value[key]; drawPart(path[0]); drawState() } }, 'Remove ' + key)))
-  const name = el('input', { 'aria-label': 'Name of a new entry', placeholder: 'name of a new entry' })
+  const name = el('input', { 'aria-label': 'Name of the new entry', placeholder: 'name of the new entry' })
   const add = el('button', { type: 'button', onclick: () => { if (name.value !== '') { value[name.value] = toBlank(schema); drawPart(path[0]); drawState() } } }, 'Add')
   return [...fieldsets, el('div', { class: 'field' }, name, add)]
 }
@@ -85,7 +85,7 @@
 function toHint (schema) {
   const low = schema.minimum === undefined ? schema.exclusiveMinimum : schema.minimum
   if (low !== undefined && schema.maximum !== undefined && schema.maximum < 1e9) return 'from ' + low + ' to ' + schema.maximum
-  if (schema.type === 'array') return 'one a line'
+  if (schema.type === 'array') return 'one per line'
   return undefined
 }
 
--- a/packages/console/src/style.ts
+++ b/packages/console/src/style.ts
@@ -1,4 +1,4 @@
-/** The look of the console: one column on a phone, readable without scripts from elsewhere. */
+/** Stylesheet of the console: one column on narrow screens, no external resources. */
 export const STYLE = `
 :root { color-scheme: light; --ink: #1d2327; --line: #c9ccd1; --bad: #a1121f; --accent: #14507a; --soft: #f3f5f7; }
 * { box-sizing: border-box; }
--- a/packages/control/src/controlInstance.ts
+++ b/packages/control/src/controlInstance.ts
@@ -1,4 +1,4 @@
-/** A control instance: replicas of the fleet's state and of the ledger, the leases of router instances, and the operators' side. */
+/** A control instance: hosts replicas of the fleet state and the ledger, grants leases to router instances, and serves the operator API. */
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
 import * as membership from '@kingcupdeck/membership'
@@ -8,21 +8,22 @@
 import * as operatorServer from './operatorServer.js'
 import * as replicaGroups from './replicaGroups.js'
 
-/** What a control instance is built from. */
+/** Options of a control instance. */
 export interface ControlOptions {
   id: string
-  /** IP number and port for peers. */
+  /** `ip:port` that peers connect to. */
   peerListen: string
-  /** IP number and port for operators; port 0 takes a free one. */
+  /** `ip:port` of the operator API; port 0 selects a free port. */
   listen: string
   controls: readonly membership.ControlAddress[]
   dataFolder: string
   secret: string
   ledgerGroups: number
   snapshotEvery?: number
-  /** The document to begin with, when the fleet has none. */
+  /** Configuration document to propose while the fleet has none. */
   document?: contracts.Document
   log: telemetry.Log
+  /** Whether a broken invariant ends the process. */
   isFatal: boolean
 }
 
@@ -31,15 +32,11 @@
   readonly url: string
   readonly peerPort: number
   invariants (): Record<telemetry.Invariant, telemetry.Tally>
-  /** Hands leadership over and ends. */
+  /** Closes the operator server, hands leadership over, and closes all links. */
   shutdown (): Promise<void>
 }
 
-/**
- * Starts a control instance.
- * @param opts who it is and where its data lives
- * @returns the instance
- */
+/** Starts a control instance. */
 export async function createControl (opts: ControlOptions): Promise<Control> {
   const { log } = opts
   const metrics = telemetry.createControlMetrics()
@@ -77,7 +74,7 @@
     const groupMessage = replicaGroups.toGroupMessage(body)
     if (groupMessage !== undefined) {
       const replica = groups.get(groupMessage.raft)
-      if (replica === undefined) throw new Error(`no group ${groupMessage.raft} here`)
+      if (replica === undefined) throw new Error(`this control instance hosts no replica of group ${groupMessage.raft}`)
       return await replica.handle(groupMessage.msg)
     }
     return await handleControlCall(contracts.controlCall.parse(body), link)
@@ -137,8 +134,8 @@
     replicas: [...groups.values()].map(item => item.status())
   })
 
-  // Operators may ask any control instance; this client finds the leader for them. It does not come as a control instance:
-  // the other side would take its connection for replication, and this client answers no calls.
+  // Operators may call any control instance; this client forwards their calls to the leader. It identifies as a tool, because
+  // peers use connections with the control role for replication, and this client answers no calls.
   const client = membership.createControlClient({ identity: { role: 'tool', id: opts.id }, secret: opts.secret, log, controls: opts.controls, onEvent: () => {} })
   const operatorApi = await operatorServer.startOperatorServer(opts.listen, { client, machine: fleetMachine, registry: metrics.registry, log, toHealth: () => ({ peerPort: peerServer.port, replicas: [...groups.values()].map(item => item.status()), invariants: invariants.tallies() }) })
 
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,2 +1,2 @@
-/** Public face of the control package: a control instance as a library. */
+/** Public entry point: runs a control instance as a library. */
 export * from './controlInstance.js'
--- a/packages/control/src/leaseTable.ts
+++ b/packages/control/src/leaseTable.ts
@@ -1,6 +1,6 @@
 /**
- * The leases of instances, as the control leader keeps them. They live in the leader's memory only; a new leader gives
- * every member of the view a whole lease before it removes anyone, which covers whatever its predecessor granted.
+ * Leases of router instances, kept in the control leader's memory only. A new leader assumes a full lease for every member
+ * of the view before it removes any, which covers all leases that its predecessor granted.
  */
 import * as contracts from '@kingcupdeck/contracts'
 import * as links from '@kingcupdeck/links'
@@ -8,29 +8,28 @@
 import * as state from '@kingcupdeck/state'
 import * as telemetry from '@kingcupdeck/telemetry'
 
-/** The leases as the control leader keeps them. */
+/** Leases granted by the control leader. */
 export interface LeaseTable {
-  /** Answers a renewal. */
+  /** Renews a lease, or joins the instance when it has no incarnation yet. */
   renew (call: Extract<contracts.ControlCall, { t: 'renew' }>, link: links.Link): Promise<contracts.ControlReply>
-  /** Takes a lease back. */
+  /** Ends a lease and removes the instance from the view. */
   leave (id: string, incarnation: number): Promise<contracts.ControlReply>
-  /** Takes what an instance reports between renewals. */
+  /** Applies loads and seen versions that an instance reports between renewals. */
   onEvent (event: contracts.ControlEvent): void
-  /** Told when this instance starts to lead or stops. */
+  /** Called when this replica becomes leader or stops being leader. */
   onLeadershipChange (isLeader: boolean): void
-  /** Told when the replicated state changed. */
+  /** Called after each change of the replicated state. */
   onStateChange (): void
-  /** @returns the instances with their leases */
   toStatus (): contracts.FleetStatus['instances']
-  /** @returns the load of every pool */
+  /** Returns the load of every pool, summed over all instances. */
   toPoolLoads (): contracts.PoolLoad[]
   stop (): void
 }
 
-/** What the leases are built from. */
+/** Options of a lease table. */
 export interface LeaseTableOptions {
   machine: state.FleetMachine
-  /** @returns this instance's replica of the fleet's group; undefined while it starts */
+  /** Returns this instance's replica of the fleet group; undefined during startup. */
   replica: () => state.Replica | undefined
   log: telemetry.Log
 }
@@ -42,23 +41,19 @@
   documentVersion: number
   loads: contracts.PoolLoad[]
   link: links.Link | undefined
-  /** Whether its removal is being committed: it must not be renewed any more. */
+  /** Whether the removal is being committed; the lease must not be renewed then. */
   isRemoved: boolean
 }
 
 const EXPIRY_CHECK_INTERVAL_MS = 250
 const PUSH_DELAY_MS = 20
 const POOL_PUSH_DELAY_MS = 200
-/** Where requests wait for the cap. */
+/** Used when an instance has requests queued at the load cap. */
 const URGENT_POOL_PUSH_DELAY_MS = 15
-/** Loads of others are pushed when they changed by more than this share. */
+/** Pool loads are pushed when at least one changed by more than this ratio. */
 const MIN_POOL_LOAD_CHANGE_RATIO = 0.03
 
-/**
- * Creates the leases.
- * @param opts the replicated state and the way to change it
- * @returns the leases
- */
+/** Creates a lease table; its timers run until `stop` is called. */
 export function createLeaseTable (opts: LeaseTableOptions): LeaseTable {
   const { machine, log } = opts
   const leases = new Map<string, Lease>()
@@ -75,7 +70,7 @@
   const ensureLease = (id: string, incarnation: number): Lease => {
     let lease = leases.get(id)
     if (lease === undefined || lease.incarnation !== incarnation) {
-      // Nobody has acted on a view before the one it joined with, which its incarnation is the number of.
+      // The incarnation equals the view that the instance joined with, so it has not acted on any earlier view.
       lease = { incarnation, expiresAt: toExpiry(), viewSeen: incarnation, documentVersion: 0, loads: [], link: undefined, isRemoved: false }
       leases.set(id, lease)
     }
@@ -104,7 +99,7 @@
   const join = async (instance: contracts.Instance): Promise<number> => {
     const member = machine.find(instance.id)
     if (member !== undefined && member.boot !== instance.boot) {
-      // The earlier process may be frozen and still hold its lease: it must run out before another one takes the name.
+      // The previous process may be suspended while its lease is valid: the lease must expire before the id is reused.
       if (performance.now() < ensureLease(member.id, member.incarnation).expiresAt) return 0
       await remove(member.id, member.incarnation)
     }
@@ -145,7 +140,7 @@
       .filter(item => item.share < 1)
   }
 
-  /** Pushes the view and the document to every instance that has not seen them. */
+  /** Pushes the view and, where outdated, the document to every connected instance. */
   const push = (): void => {
     pushTimer = undefined
     if (!isReady()) return
@@ -183,7 +178,7 @@
     const wasBehind = lease.viewSeen < machine.view()
     lease.viewSeen = Math.max(lease.viewSeen, viewSeen)
     lease.documentVersion = Math.max(lease.documentVersion, documentVersion)
-    // The last one to see a view settles it for all: new owners wait for that.
+    // Owners in the new view wait until every instance has seen it, so push as soon as the last one has.
     if (wasBehind && listLaggards().length === 0) schedulePush()
   }
 
@@ -199,7 +194,7 @@
     const current = leases.get(id)
     if (member?.incarnation !== incarnation || current?.isRemoved === true) return { t: 'lapsed', incarnation: call.incarnation }
     if (call.leaving && !member.leaving) await propose({ t: 'leaving', id, incarnation })
-    // Checked again after every wait: a leader may grant only while nobody else can lead.
+    // Checked again after each await: a leader may grant leases only while no other replica can lead.
     if (!isReady()) return notLeader()
     const lease = ensureLease(id, incarnation)
     if (lease.isRemoved) return { t: 'lapsed', incarnation: call.incarnation }
--- a/packages/control/src/operatorServer.ts
+++ b/packages/control/src/operatorServer.ts
@@ -1,4 +1,4 @@
-/** The operators' side of a control instance: the document, its history, the status of the fleet, and the console. */
+/** HTTP server for operators: configuration document, its history, fleet status, and the console. */
 import * as http from 'node:http'
 import * as net from 'node:net'
 import * as prom from 'prom-client'
@@ -11,29 +11,30 @@
 import * as state from '@kingcupdeck/state'
 import * as telemetry from '@kingcupdeck/telemetry'
 
-/** What the server works with. */
+/** Options of the operator server. */
 export interface OperatorServerOptions {
   client: membership.ControlClient
   machine: state.FleetMachine
   registry: prom.Registry
   log: telemetry.Log
-  /** @returns what the health page shows beside the versions */
+  /** Returns the fields that the health body shows in addition to the versions. */
   toHealth (): Record<string, unknown>
 }
 
-/** The running server. */
+/** A running operator server. */
 export interface OperatorServer { readonly url: string, close (): Promise<void> }
 
 const CALL_TIMEOUT_MS = 6000
+const REQUEST_TIMEOUT_MS = 30_000
+const HEADERS_TIMEOUT_MS = 10_000
+const MAX_OPERATION_ID_LENGTH = 100
 
 /**
- * Starts the server.
- * @param address IP number and port; port 0 takes a free one
- * @param opts what the handlers work with
- * @returns the server
+ * Starts the operator server.
+ * @param address `ip:port`; port 0 selects a free port
  */
 export async function startOperatorServer (address: string, opts: OperatorServerOptions): Promise<OperatorServer> {
-  const server = http.createServer({ requestTimeout: 30_000, headersTimeout: 10_000 }, (req, res) => { void handleRequest(opts, req, res) })
+  const server = http.createServer({ requestTimeout: REQUEST_TIMEOUT_MS, headersTimeout: HEADERS_TIMEOUT_MS }, (req, res) => { void handleRequest(opts, req, res) })
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
     server.listen(links.parseAddress(address), resolve)
@@ -91,16 +92,19 @@
   res.end(JSON.stringify(body))
 }
 
-/** @returns the operator's id. @throws FailureError `unauthenticated` */
+/**
+ * Returns the id of the operator whose token the request has.
+ * @throws FailureError `unauthenticated`, or `not_serving` before the first document
+ */
 function authenticateOperator (opts: OperatorServerOptions, req: http.IncomingMessage): string {
-  // A replica that is still behind does not know the tokens: that says nothing about the operator's.
-  if (opts.machine.document() === null) throw new contracts.FailureError({ kind: 'not_serving', detail: 'it has not got the configuration yet', addresses: [], retryAfterMs: 1000 })
+  // A replica that is still catching up has no tokens to compare with: not_serving, not unauthenticated.
+  if (opts.machine.document() === null) throw new contracts.FailureError({ kind: 'not_serving', detail: 'no configuration document has been received yet', addresses: [], retryAfterMs: 1000 })
   const header = req.headers.authorization ?? ''
   const digest = contracts.sha256(header.startsWith('Bearer ') ? header.slice(7, 600) : '')
   for (const [id, spec] of Object.entries(opts.machine.document()?.operators ?? {})) {
     if (spec.tokens.some(tokenDigest => contracts.isSameSecret(tokenDigest, digest))) return id
   }
-  throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The token is not that of an operator' })
+  throw new contracts.FailureError({ kind: 'unauthenticated', what: 'The bearer token does not belong to an operator' })
 }
 
 async function readDocument (req: http.IncomingMessage): Promise<unknown> {
@@ -114,24 +118,24 @@
   try {
     return JSON.parse(Buffer.concat(parts).toString('utf8'))
   } catch (err) {
-    throw new contracts.FailureError({ kind: 'bad_request', detail: `The document is not JSON: ${err instanceof Error ? err.message : String(err)}` })
+    throw new contracts.FailureError({ kind: 'bad_request', detail: `The document is not valid JSON: ${err instanceof Error ? err.message : String(err)}` })
   }
 }
 
 async function getDocument (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
   authenticateOperator(opts, req)
   const reply = await opts.client.call('fleet', { t: 'documentGet' }, CALL_TIMEOUT_MS)
-  if (reply.t !== 'document') throw new Error(`unexpected reply ${reply.t}`)
+  if (reply.t !== 'document') throw new Error(`unexpected reply "${reply.t}" to documentGet`)
   sendJson(res, 200, { version: reply.version, document: reply.document })
 }
 
-/** `PUT /v1/config?base=<version>&operation=<id>`: a resend with the same operation id gets the first answer. */
+/** Handles `PUT /v1/config?base=<version>&operation=<id>`. A retry with the same operation id returns the original result. */
 async function putDocument (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse, url: URL): Promise<void> {
   const operator = authenticateOperator(opts, req)
   const baseVersion = Number(url.searchParams.get('base') ?? NaN)
   const operation = url.searchParams.get('operation') ?? ''
-  if (!Number.isInteger(baseVersion) || operation === '' || operation.length > 100) {
-    throw new contracts.FailureError({ kind: 'bad_request', detail: 'Name the version that the document is based on and an id of this operation: PUT /v1/config?base=<version>&operation=<id>.' })
+  if (!Number.isInteger(baseVersion) || operation === '' || operation.length > MAX_OPERATION_ID_LENGTH) {
+    throw new contracts.FailureError({ kind: 'bad_request', detail: `The query parameters base (integer: the version that the document is based on) and operation (id of 1 to ${MAX_OPERATION_ID_LENGTH} characters) are required: PUT /v1/config?base=<version>&operation=<id>.` })
   }
   const reply = await opts.client.call('fleet', { t: 'documentPut', operator, operation, baseVersion, document: await readDocument(req) }, CALL_TIMEOUT_MS)
   switch (reply.t) {
@@ -142,7 +146,7 @@
       return
     }
     case 'invalid': throw new contracts.FailureError({ kind: 'invalid_document', faults: reply.faults })
-    default: throw new Error(`unexpected reply ${reply.t}`)
+    default: throw new Error(`unexpected reply "${reply.t}" to documentPut`)
   }
 }
 
@@ -155,21 +159,21 @@
 async function getHistory (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
   authenticateOperator(opts, req)
   const reply = await opts.client.call('fleet', { t: 'documentHistory' }, CALL_TIMEOUT_MS)
-  if (reply.t !== 'history') throw new Error(`unexpected reply ${reply.t}`)
+  if (reply.t !== 'history') throw new Error(`unexpected reply "${reply.t}" to documentHistory`)
   sendJson(res, 200, { items: reply.items })
 }
 
 async function getStatus (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
   authenticateOperator(opts, req)
   const reply = await opts.client.call('fleet', { t: 'status' }, CALL_TIMEOUT_MS)
-  if (reply.t !== 'status') throw new Error(`unexpected reply ${reply.t}`)
+  if (reply.t !== 'status') throw new Error(`unexpected reply "${reply.t}" to status`)
   sendJson(res, 200, reply.status)
 }
 
 const HEALTH_TIMEOUT_MS = 1500
 const healthBody = z.object({ owned: z.array(contracts.endpointStatus) })
 
-/** The endpoints as their owners show them; those of an instance that does not answer are left out. */
+/** Collects endpoint status from the owners' health bodies, omitting instances that do not answer in time. */
 async function getEndpoints (opts: OperatorServerOptions, req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
   authenticateOperator(opts, req)
   const lists = await Promise.all(opts.machine.instances().map(async instance => {
--- a/packages/control/src/replicaGroups.ts
+++ b/packages/control/src/replicaGroups.ts
@@ -1,4 +1,4 @@
-/** The replica groups that a control instance hosts, and the way between the replicas of a group. */
+/** Replica groups hosted by a control instance, and the transport between the replicas of a group. */
 import * as path from 'node:path'
 import * as crypto from 'node:crypto'
 import * as links from '@kingcupdeck/links'
@@ -6,10 +6,10 @@
 import * as state from '@kingcupdeck/state'
 import * as telemetry from '@kingcupdeck/telemetry'
 
-/** A message between replicas, with the group it is for. */
+/** A message between replicas and the group that it belongs to. */
 export interface GroupMessage { raft: string, msg: state.Rpc }
 
-/** What groups are built from. */
+/** Options shared by all replica groups of an instance. */
 export interface ReplicaGroupOptions {
   id: string
   controls: readonly membership.ControlAddress[]
@@ -20,13 +20,13 @@
   snapshotEvery?: number
 }
 
-/** Longer than a sync of the disk under load, shorter than an election. */
+/** Longer than a disk sync under load, shorter than the minimum election timeout. */
 const RPC_TIMEOUT_MS = 800
 
 /**
- * Tells whether a call's body is a message between replicas.
- * @param body what came
- * @returns the message, or undefined
+ * Parses the body of a call as a message between replicas.
+ * @returns undefined if the body is no such message
+ * @throws ZodError if it names a group but the message is invalid
  */
 export function toGroupMessage (body: unknown): GroupMessage | undefined {
   const { raft, msg } = body as { raft?: unknown, msg?: unknown }
@@ -36,11 +36,8 @@
 
 /**
  * Starts this instance's replica of a group.
- * @param opts where its data lives and how peers are reached
- * @param group the group's name
- * @param machine the state that the group replicates
- * @param onLeadershipChange told when this replica starts to lead or stops
- * @returns the replica
+ * @param machine the state machine that the group replicates
+ * @param onLeadershipChange called when this replica becomes leader or stops being leader
  */
 export async function startReplica (opts: ReplicaGroupOptions, group: string, machine: state.StateMachine, onLeadershipChange: (isLeader: boolean) => void): Promise<state.Replica> {
   return await state.createReplica({
--- a/packages/kingcupdeck/__tests__/logExplanation.test.ts
+++ b/packages/kingcupdeck/__tests__/logExplanation.test.ts
@@ -1,4 +1,4 @@
-/** Causes found from logs alone. The lines are those of real runs, shortened. */
+/** Finds the cause of a failed request from log lines of several instances. */
 import * as ava from 'ava'
 import * as logExplanation from '../src/logExplanation.js'
 
@@ -8,25 +8,25 @@
   14.8011 edge-c-2 {"at":"2026-05-12T21:31:29.704Z","instance":"edge-c-2","code":1506,"event":"requestRefused","request":"0cafdd1406e2f2c2","status":503,"why":"this instance is stopping","document":16}
 {"at":"2026-05-12T21:31:30.000Z","instance":"edge-a-1","code":1403,"event":"endpointGone","endpoint":"i-9ef26f47c6","why":"connect ECONNREFUSED 10.1.64.34:8347","failures":1}
 {"at":"2026-05-12T21:31:30.200Z","instance":"edge-a-1","code":1505,"event":"requestEnded","request":"b7eee138a77447e1","outcome":"502 read ECONNRESET","document":16,"waitMs":600,"totalMs":41,"attempts":"i-9ef26f47c6 (near 1/4) lost: read ECONNRESET 39"}
-no line of ours
+not a JSON log line
 {"at":"2026-05-12T21:31:31.000Z","instance":"edge-a-1","code":1505,"event":"requestEnded","request":"73db152bbfbb4979","outcome":"504 the time is over","document":16,"waitMs":400,"totalMs":400,"attempts":"i-506d14ffca (near 0/3) lost: the time is over 400"}
 `
 const lines = logExplanation.parseLogLines(LOGS)
 
-test('a refused request', t => {
+test('explains a refused request', t => {
   t.regex(logExplanation.explainRequest(lines, '0cafdd1406e2f2c2').cause, /^refused with 503 before any endpoint was tried: this instance is stopping \(at edge-c-2, document version 16\)/)
 })
 
-test('a request whose endpoint crashed', t => {
+test('explains a request whose endpoint crashed', t => {
   const { cause, around } = logExplanation.explainRequest(lines, 'b7eee138a77447e1')
-  t.regex(cause, /502 read ECONNRESET.*found down around then: i-9ef26f47c6 \(connect ECONNREFUSED/)
+  t.regex(cause, /502 read ECONNRESET.*marked down around that time: i-9ef26f47c6 \(connect ECONNREFUSED/)
   t.is(around.length, 1)
 })
 
-test('a request whose endpoint did not answer in time', t => {
+test('explains a request that timed out', t => {
   t.regex(logExplanation.explainRequest(lines, '73db152bbfbb4979').cause, /504 the time is over" after 400 of 400 ms; tried: i-506d14ffca/)
 })
 
-test('a request that no instance knows', t => {
+test('explains a request that no instance logged', t => {
   t.regex(logExplanation.explainRequest(lines, 'nobody').cause, /did not arrive/)
 })
--- a/packages/kingcupdeck/__tests__/settings.test.ts
+++ b/packages/kingcupdeck/__tests__/settings.test.ts
@@ -1,4 +1,4 @@
-/** Settings and the command line as an operator meets them. */
+/** Settings validation, and exit codes and help of the command line. */
 import * as childProcess from 'node:child_process'
 import * as fs from 'node:fs'
 import * as os from 'node:os'
@@ -12,7 +12,7 @@
 
 const VALID_FLAGS = { id: 'r1', zone: 'a', listen: '127.0.0.1:0', 'peer-listen': '127.0.0.1:0', control: 'c1=127.0.0.1:1,c2=127.0.0.1:2', 'fleet-secret': 'sixteen-characters' }
 
-test('good settings pass, with defaults filled in', t => {
+test('accepts valid settings and fills in defaults', t => {
   const checked = program.checkSettings(program.routerSettings, VALID_FLAGS, {})
   t.is(checked.kind, 'valid')
   if (checked.kind !== 'valid') return
@@ -21,12 +21,12 @@
   t.is(checked.values['max-body-bytes'], 4194304)
 })
 
-test('a flag goes before its environment variable', t => {
+test('a flag takes precedence over its environment variable', t => {
   const checked = program.checkSettings(program.routerSettings, { ...VALID_FLAGS, zone: undefined }, { KINGCUPDECK_ZONE: 'b', KINGCUPDECK_ID: 'r9' })
   t.deepEqual(checked.kind === 'valid' ? [checked.values.zone, checked.values.id] : [], ['b', 'r1'])
 })
 
-test('all faults come at once, with flag, value, what is allowed and the remedy, and no secret', t => {
+test('reports all faults with flag, value, allowed values and remedy, and hides secrets', t => {
   const checked = program.checkSettings(program.routerSettings, { ...VALID_FLAGS, listen: 'localhost:80', policy: 'best', 'fleet-secret': 'short', id: undefined }, {})
   const faults = checked.kind === 'invalid' ? checked.faults : []
   t.is(faults.length, 4)
@@ -40,12 +40,12 @@
   return { status: res.status, out: res.stdout, err: res.stderr }
 }
 
-test('unusable settings end with 2, an unreachable fleet with 4', t => {
+test('exits with 2 for invalid settings, with 4 for an unreachable fleet', t => {
   t.is(run('router', '--id', 'UPPER').status, 2)
   t.is(run('status', '--address', 'http://127.0.0.1:9', '--token', 'x').status, 4)
 })
 
-test('validate names every fault at its field', t => {
+test('validate reports every fault with its field path', t => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kingcupdeck-cli-'))
   t.teardown(() => { fs.rmSync(folder, { recursive: true, force: true }) })
   const doc = JSON.parse(fs.readFileSync(path.join(ROOT, 'deployments/vanua.json'), 'utf8'))
@@ -61,7 +61,7 @@
   t.is(run('config', 'validate', path.join(folder, 'absent.json')).status, 2)
 })
 
-test('help says what each command is for', t => {
+test('help lists every command and the environment variables', t => {
   const { out } = run('--help')
   for (const word of ['router', 'control', 'config', 'status', 'explain', 'addresses']) t.true(out.includes(word), word)
   t.true(run('router', '--help').out.includes('KINGCUPDECK_FLEET_SECRET'))
--- a/packages/kingcupdeck/src/cli.ts
+++ b/packages/kingcupdeck/src/cli.ts
@@ -1,4 +1,4 @@
-/** The command line: every command with its flags and its help. */
+/** Command line interface: commands, flags and help texts. */
 import * as cmd from 'cmd-ts'
 import * as configCommands from './configCommands.js'
 import * as daemons from './daemons.js'
@@ -11,7 +11,7 @@
 
 const ROUTER_URL_DESCRIPTION = 'Base URL of a router instance'
 
-/** Makes a flag for each setting. */
+/** Builds one command-line option per setting. */
 function toFlags (list: Record<string, settings.Setting>, addressDescription?: string) {
   return Object.fromEntries(Object.entries(list).map(([key, spec]) => [key, cmd.option({
     type: cmd.optional(cmd.string),
@@ -20,7 +20,7 @@
   })]))
 }
 
-/** Runs with checked settings, or prints every fault and ends with 2. */
+/** Calls `run` with validated settings, or prints every fault and sets the exit code `usage`. */
 async function withSettings<T extends Record<string, settings.Setting>> (list: T, flags: Record<string, unknown>, run: (values: settings.Values<T>) => Promise<exitCodes.ExitCode | undefined>): Promise<void> {
   const checked = settings.checkSettings(list, flags as Record<string, string | undefined>, process.env)
   if (checked.kind === 'invalid') {
@@ -37,7 +37,7 @@
 
 const router = cmd.command({
   name: 'router',
-  description: 'Runs a router instance until SIGTERM, then leaves without cutting a request',
+  description: 'Runs a router instance until SIGTERM, then drains its requests before it exits',
   args: toFlags(settings.routerSettings),
   handler: async flags => { await withSettings(settings.routerSettings, flags, async values => { await daemons.runRouter(values); return undefined }) }
 })
@@ -51,27 +51,27 @@
 
 const validate = cmd.command({
   name: 'validate',
-  description: 'Checks a document without sending it; prints every fault with its field',
+  description: 'Validates a configuration document locally; prints every fault with its field path',
   args: { file: cmd.positional({ type: cmd.string, displayName: 'file' }), json },
   handler: args => { process.exitCode = configCommands.validate(args.file, args.json) }
 })
 
 const get = cmd.command({
   name: 'get',
-  description: 'Prints the document in force; its version goes to standard error',
+  description: 'Prints the configuration document in force; its version goes to standard error',
   args: { ...operatorFlags, json },
   handler: async args => { await withSettings(settings.operatorSettings, args, async target => await configCommands.get(target, args.json)) }
 })
 
 const put = cmd.command({
   name: 'put',
-  description: 'Sends a document. Ends with 3 if someone else changed it meanwhile, with 2 if it has faults',
+  description: 'Submits a configuration document. Exits with 3 if the document has changed since the base version, with 2 if it is invalid',
   args: {
     ...operatorFlags,
     file: cmd.positional({ type: cmd.string, displayName: 'file' }),
-    base: cmd.option({ long: 'base', type: cmd.optional(cmd.number), description: 'Version that the document was made from' }),
-    operation: cmd.option({ long: 'operation', type: cmd.optional(cmd.string), description: 'Id of this operation; give the same again after a lost answer' }),
-    wait: cmd.flag({ long: 'wait', description: 'Wait until every instance has it in force' }),
+    base: cmd.option({ long: 'base', type: cmd.optional(cmd.number), description: 'Version that the document is based on' }),
+    operation: cmd.option({ long: 'operation', type: cmd.optional(cmd.string), description: 'Id of this operation; reuse it to retry safely after a lost answer' }),
+    wait: cmd.flag({ long: 'wait', description: 'Wait until the document is in force on every instance' }),
     json
   },
   handler: async args => {
@@ -81,7 +81,7 @@
 
 const history = cmd.command({
   name: 'history',
-  description: 'Lists accepted versions, oldest first',
+  description: 'Lists the accepted versions of the configuration document, oldest first',
   args: { ...operatorFlags, json },
   handler: async args => { await withSettings(settings.operatorSettings, args, async target => await configCommands.history(target, args.json)) }
 })
@@ -95,14 +95,14 @@
 
 const explain = cmd.command({
   name: 'explain',
-  description: 'Shows what was decided for a request and why; the id stands in the header x-request-id of the answer',
+  description: 'Shows the routing decisions for a request and their reasons; the request id is in the response header x-request-id',
   args: { ...routerFlags, request: cmd.positional({ type: cmd.string, displayName: 'request id' }), json },
   handler: async args => { await withSettings(settings.operatorSettings, args, async target => await fleetCommands.explain(target, args.request, args.json)) }
 })
 
 const explainLogs = cmd.command({
   name: 'explain-logs',
-  description: 'Finds the cause of a failed request of the forwarding fleet in the logs of its instances',
+  description: 'Finds the cause of a failed request in the log files of entry and control instances',
   args: {
     request: cmd.positional({ type: cmd.string, displayName: 'request id' }),
     files: cmd.restPositionals({ type: cmd.string, displayName: 'log files' }),
@@ -113,12 +113,12 @@
 
 const addresses = cmd.command({
   name: 'addresses',
-  description: 'Shows which instances a caller should use, best first; the token is a client account\'s',
+  description: 'Lists the instances that a caller should use, best first; requires the token of a client account',
   args: {
     ...routerFlags,
-    zone: cmd.option({ long: 'zone', type: cmd.optional(cmd.string), description: 'Zone of the caller' }),
+    zone: cmd.option({ long: 'zone', type: cmd.optional(cmd.string), description: 'Availability zone of the caller' }),
     model: cmd.option({ long: 'model', type: cmd.optional(cmd.string), description: 'Model that the chat uses' }),
-    chat: cmd.option({ long: 'chat', type: cmd.optional(cmd.string), description: 'Chat id: the owner of its engine comes first' }),
+    chat: cmd.option({ long: 'chat', type: cmd.optional(cmd.string), description: 'Chat id: lists the owner of its engine first' }),
     json
   },
   handler: async args => {
@@ -126,11 +126,11 @@
   }
 })
 
-/** The whole command line. */
+/** All commands of the program. */
 export const cli = cmd.subcommands({
   name: 'kingcupdeck',
   version: '0.1.0',
-  description: 'A router fleet for very many returning chats. Exit codes: 0 done, 1 failed, 2 unusable settings or document, 3 conflict, 4 unreachable.',
+  description: 'Router fleet for LLM chats with cache affinity. Exit codes: 0 done, 1 failed, 2 invalid settings or document, 3 conflict, 4 unreachable.',
   cmds: {
     router,
     control,
@@ -144,7 +144,7 @@
 
 /**
  * Runs the command line.
- * @param args the arguments behind the program's name
+ * @param args the arguments after the program name
  */
 export async function runCli (args: string[]): Promise<void> {
   await cmd.run(cli, args)
--- a/packages/kingcupdeck/src/configCommands.ts
+++ b/packages/kingcupdeck/src/configCommands.ts
@@ -1,4 +1,4 @@
-/** `kingcupdeck config …`: the document from the command line. */
+/** Commands of `kingcupdeck config`: validate, get, put and history. */
 import * as crypto from 'node:crypto'
 import * as fs from 'node:fs'
 import * as contracts from '@kingcupdeck/contracts'
@@ -6,18 +6,13 @@
 import * as operatorClient from './operatorClient.js'
 import * as output from './output.js'
 
-/** What putting a document takes. */
+/** Options of `config put`. */
 export interface PutOptions { target: operatorClient.OperatorTarget, file: string, base: number | undefined, operation: string | undefined, isWaiting: boolean, json: boolean }
 
 const WAIT_TIMEOUT_MS = 10_000
 const WAIT_POLL_INTERVAL_MS = 100
 
-/**
- * `config validate`.
- * @param file the document
- * @param json print JSON
- * @returns the exit code
- */
+/** `config validate`: checks a document file without a control instance. */
 export function validate (file: string, json: boolean): exitCodes.ExitCode {
   const read = readJsonFile(file)
   const faults = read.kind === 'read' ? toFaults(read.value) : [{ path: '(file)', message: read.detail }]
@@ -38,15 +33,13 @@
   try {
     return { kind: 'read', value: JSON.parse(fs.readFileSync(file, 'utf8')) }
   } catch (err) {
-    return { kind: 'unreadable', detail: `${file} cannot be read as JSON: ${err instanceof Error ? err.message : String(err)}` }
+    return { kind: 'unreadable', detail: `${file} could not be read as JSON: ${err instanceof Error ? err.message : String(err)}` }
   }
 }
 
 /**
  * `config get`: prints the document in force.
- * @param target the control instance
- * @param json print the version as well, as one JSON object
- * @returns the exit code
+ * @param json print version and document as one JSON object; otherwise the version goes to standard error
  */
 export async function get (target: operatorClient.OperatorTarget, json: boolean): Promise<exitCodes.ExitCode> {
   const reply = await operatorClient.callOperatorApi<{ version: number, document: unknown }>(target, 'GET', '/v1/config')
@@ -60,21 +53,20 @@
 }
 
 /**
- * `config put`: sends a document, based on the version that it was made from.
- * @param opts the document and its base
- * @returns the exit code
+ * `config put`: submits a document together with the version that it is based on.
+ * @returns `failed` if the document was accepted but is not in force on every instance when waiting times out
  */
 export async function put (opts: PutOptions): Promise<exitCodes.ExitCode> {
   const read = readJsonFile(opts.file)
   const faults = read.kind === 'read' ? toFaults(read.value) : [{ path: '(file)', message: read.detail }]
   if (read.kind !== 'read' || faults.length > 0) return validate(opts.file, opts.json)
   if (opts.base === undefined || !Number.isInteger(opts.base)) {
-    output.printDiagnostic('--base is missing or no whole number. Name the version that your document was made from ("config get" shows it).')
+    output.printDiagnostic('--base is missing or not an integer. Pass the version that the document is based on (shown by "config get").')
     return exitCodes.ExitCode.usage
   }
   const operation = opts.operation ?? crypto.randomUUID()
   const reply = await operatorClient.callOperatorApi<{ version: number }>(opts.target, 'PUT', `/v1/config?base=${opts.base}&operation=${encodeURIComponent(operation)}`, read.value)
-  if (reply.kind === 'unreachable') output.printDiagnostic(`The answer was lost. Send again with --operation ${operation}: it will not be applied twice.`)
+  if (reply.kind === 'unreachable') output.printDiagnostic(`No answer was received; the document may have been accepted. Retry with --operation ${operation}: it is applied at most once.`)
   if (reply.kind !== 'ok') return output.printFailure(reply, opts.json)
   const { version } = reply.body
   const behind = opts.isWaiting ? await waitUntilInForce(opts.target, version) : undefined
@@ -83,7 +75,7 @@
   return behind !== undefined && behind.length > 0 ? exitCodes.ExitCode.failed : exitCodes.ExitCode.done
 }
 
-/** @returns the instances that do not have the version after a while */
+/** Returns the instances on which the version is not in force after {@link WAIT_TIMEOUT_MS}. */
 async function waitUntilInForce (target: operatorClient.OperatorTarget, version: number): Promise<string[]> {
   const deadline = Date.now() + WAIT_TIMEOUT_MS
   while (true) {
@@ -94,12 +86,7 @@
   }
 }
 
-/**
- * `config history`.
- * @param target the control instance
- * @param json print JSON
- * @returns the exit code
- */
+/** `config history`: lists the accepted versions. */
 export async function history (target: operatorClient.OperatorTarget, json: boolean): Promise<exitCodes.ExitCode> {
   const reply = await operatorClient.callOperatorApi<{ items: contracts.HistoryItem[] }>(target, 'GET', '/v1/config/history')
   if (reply.kind !== 'ok') return output.printFailure(reply, json)
--- a/packages/kingcupdeck/src/daemons.ts
+++ b/packages/kingcupdeck/src/daemons.ts
@@ -1,4 +1,4 @@
-/** The daemons: thin shells around the libraries that read settings, start, and stop on a signal. */
+/** Daemons: start a router or control instance from settings and stop it on SIGTERM or SIGINT. */
 import * as fs from 'node:fs'
 import * as crypto from 'node:crypto'
 import * as contracts from '@kingcupdeck/contracts'
@@ -11,10 +11,7 @@
 type RouterValues = settings.Values<typeof settings.routerSettings>
 type ControlValues = settings.Values<typeof settings.controlSettings>
 
-/**
- * Runs a router instance until it is told to stop.
- * @param values checked settings
- */
+/** Starts a router instance that runs until SIGTERM or SIGINT. */
 export async function runRouter (values: RouterValues): Promise<void> {
   const log = createLog(values)
   exitOnUncaughtError(log)
@@ -39,8 +36,8 @@
 }
 
 /**
- * Runs a control instance until it is told to stop.
- * @param values checked settings
+ * Starts a control instance that runs until SIGTERM or SIGINT.
+ * @throws FailureError `invalid_document` if the initial document has faults
  */
 export async function runControl (values: ControlValues): Promise<void> {
   const log = createLog(values)
@@ -85,7 +82,7 @@
   process.on('SIGINT', stop)
 }
 
-/** The one handler that every error reaches which nobody else took. */
+/** Logs uncaught exceptions and unhandled rejections, then ends the process. */
 function exitOnUncaughtError (log: telemetry.Log): void {
   const fail = (err: unknown): void => {
     log.event('uncaught', { detail: err instanceof Error ? err.stack ?? err.message : String(err) })
--- a/packages/kingcupdeck/src/exitCodes.ts
+++ b/packages/kingcupdeck/src/exitCodes.ts
@@ -1,12 +1,12 @@
-/** Exit codes of the command line; the README lists them. */
+/** Exit codes of the command line, as listed in the README. */
 export enum ExitCode {
   done = 0,
-  /** The operation failed: the message says why. */
+  /** The operation failed; the printed message contains the reason. */
   failed = 1,
-  /** Flags, environment variables or a document are not usable. */
+  /** Flags, environment variables or a document are invalid. */
   usage = 2,
-  /** The document was changed by someone else meanwhile. */
+  /** The document has changed since the base version. */
   conflict = 3,
-  /** No control instance, or no quorum of them, answered. */
+  /** The instance did not answer, or no quorum of control instances is available. */
   unreachable = 4
 }
--- a/packages/kingcupdeck/src/fleetCommands.ts
+++ b/packages/kingcupdeck/src/fleetCommands.ts
@@ -1,4 +1,4 @@
-/** `kingcupdeck status`, `explain` and `addresses`. */
+/** Commands `status`, `explain`, `explain-logs` and `addresses`. */
 import * as fs from 'node:fs'
 import * as contracts from '@kingcupdeck/contracts'
 import * as exitCodes from './exitCodes.js'
@@ -6,12 +6,7 @@
 import * as operatorClient from './operatorClient.js'
 import * as output from './output.js'
 
-/**
- * `status`: the fleet as the control leader knows it.
- * @param target a control instance
- * @param json print JSON
- * @returns the exit code
- */
+/** `status`: prints the fleet status reported by the control leader. */
 export async function status (target: operatorClient.OperatorTarget, json: boolean): Promise<exitCodes.ExitCode> {
   const reply = await operatorClient.callOperatorApi<contracts.FleetStatus>(target, 'GET', '/v1/status')
   if (reply.kind !== 'ok') return output.printFailure(reply, json)
@@ -32,11 +27,9 @@
 }
 
 /**
- * `explain`: what was decided for a request, and why.
+ * `explain`: prints the routing decisions for a request and their reasons.
  * @param target any router instance
- * @param request the request id, from the header x-request-id
- * @param json print JSON
- * @returns the exit code
+ * @param request the request id, from the response header x-request-id
  */
 export async function explain (target: operatorClient.OperatorTarget, request: string, json: boolean): Promise<exitCodes.ExitCode> {
   const reply = await operatorClient.callOperatorApi<{ steps: Array<{ atMs: number, step: string, why: string }> }>(target, 'GET', `/v1/explain/${encodeURIComponent(request)}`)
@@ -47,18 +40,16 @@
 }
 
 /**
- * `explain-logs`: why a request failed, from log files alone.
- * @param request the request's id
- * @param files logs of entry and control instances
- * @param json print JSON
- * @returns the exit code
+ * `explain-logs`: prints why a request failed, from log files alone.
+ * @param files log files of entry and control instances
+ * @returns `failed` if no line mentions the request, `usage` if a file cannot be read
  */
 export function explainLogs (request: string, files: readonly string[], json: boolean): exitCodes.ExitCode {
   let lines: logExplanation.LogLine[]
   try {
     lines = files.flatMap(file => logExplanation.parseLogLines(fs.readFileSync(file, 'utf8')))
   } catch (err) {
-    output.printDiagnostic(`${err instanceof Error ? err.message : String(err)}: name readable log files`)
+    output.printDiagnostic(`${err instanceof Error ? err.message : String(err)}: pass log files that can be read`)
     return exitCodes.ExitCode.usage
   }
   const found = logExplanation.explainRequest(lines, request)
@@ -71,11 +62,9 @@
 }
 
 /**
- * `addresses`: which instances a caller should use.
- * @param target any router instance, with a client account's token
- * @param query zone, model and chat, where given
- * @param json print JSON
- * @returns the exit code
+ * `addresses`: lists the instances that a caller should use, best first.
+ * @param target any router instance, with the token of a client account
+ * @param query `zone`, `model` and `chat`; undefined ones are left out
  */
 export async function addresses (target: operatorClient.OperatorTarget, query: Record<string, string | undefined>, json: boolean): Promise<exitCodes.ExitCode> {
   const params = new URLSearchParams()
@@ -85,7 +74,7 @@
   if (json) output.print(JSON.stringify(reply.body))
   else {
     for (const item of reply.body.addresses) output.print(`${item.url}  ${item.instance}  zone ${item.zone}`)
-    output.printDiagnostic(`keep for ${reply.body.maxAgeSeconds} s`)
+    output.printDiagnostic(`valid for ${reply.body.maxAgeSeconds} s`)
   }
   return exitCodes.ExitCode.done
 }
--- a/packages/kingcupdeck/src/index.ts
+++ b/packages/kingcupdeck/src/index.ts
@@ -1,4 +1,4 @@
-/** Public face of the program: its settings and exit codes, for those who start it. */
+/** Public entry point: command line, settings and exit codes. */
 export * from './exitCodes.js'
 export * from './settings.js'
 export { cli, runCli } from './cli.js'
--- a/packages/kingcupdeck/src/logExplanation.ts
+++ b/packages/kingcupdeck/src/logExplanation.ts
@@ -1,27 +1,26 @@
-/** Finds the cause of a failed request in the logs of several instances, joined by the request's id. */
+/** Finds the cause of a failed request in the logs of several instances, correlated by request id. */
 import * as z from 'zod'
 
 const logLine = z.looseObject({ at: z.string(), instance: z.string(), event: z.string() })
-/** A line of a log. */
+/** A JSON log line. */
 export type LogLine = z.infer<typeof logLine>
 
-/** What the logs say of a request. */
+/** The log lines that explain a request, and the cause derived from them. */
 export interface Explanation {
-  /** The lines that name the request. */
+  /** Lines with the request's id, oldest first. */
   own: LogLine[]
-  /** What the same instances and the control instances noted of the endpoints that were tried, shortly before and after. */
+  /** Lines about the endpoints that were tried and about the instance that handled the request, within {@link CONTEXT_WINDOW_MS} of its end. */
   around: LogLine[]
-  /** One sentence for people. */
+  /** One sentence, human-readable. */
   cause: string
 }
 
-/** Events this long before and after a request are shown with it. */
+/** Events up to this long before and after the end of a request are related to it. */
 const CONTEXT_WINDOW_MS = 10_000
 
 /**
- * Reads log lines; text that is no line of ours is passed over.
- * @param text the content of a log, which may have something before each line
- * @returns the lines
+ * Parses JSON log lines and skips all other text.
+ * @param text content of a log file; lines may have a prefix before the JSON object
  */
 export function parseLogLines (text: string): LogLine[] {
   return text.split('\n').flatMap(raw => {
@@ -37,14 +36,13 @@
 }
 
 /**
- * Explains a request.
+ * Explains the outcome of a request.
  * @param lines lines of all instances, in any order
- * @param request the request's id
- * @returns what they say
+ * @param request the request id
  */
 export function explainRequest (lines: readonly LogLine[], request: string): Explanation {
   const own = lines.filter(item => item.request === request).sort(byTime)
-  if (own.length === 0) return { own, around: [], cause: 'no instance logged this request: it did not arrive, or its line was left out (see event linesDropped)' }
+  if (own.length === 0) return { own, around: [], cause: 'no instance logged this request: it did not arrive, or its log line was dropped (see event linesDropped)' }
   const last = own[own.length - 1]
   const at = Date.parse(last.at)
   const endpoints = toText(last.attempts).split('; ').map(item => item.split(' ')[0]).filter(item => item !== '')
@@ -60,7 +58,7 @@
   const outcome = toText(last.outcome)
   const tried = toText(last.attempts) === '' ? 'no endpoint was tried' : `tried: ${toText(last.attempts)}`
   const downEndpoints = around.filter(item => item.event === 'endpointGone').map(item => `${toText(item.endpoint)} (${toText(item.why)})`)
-  const downSuffix = downEndpoints.length === 0 ? '' : `; found down around then: ${[...new Set(downEndpoints)].join(', ')}`
+  const downSuffix = downEndpoints.length === 0 ? '' : `; marked down around that time: ${[...new Set(downEndpoints)].join(', ')}`
   return `ended with "${outcome}" after ${toText(last.totalMs)} of ${toText(last.waitMs)} ms; ${tried}${downSuffix} (${location})`
 }
 
--- a/packages/kingcupdeck/src/main.ts
+++ b/packages/kingcupdeck/src/main.ts
@@ -1,9 +1,9 @@
-/** Entry of the program `kingcupdeck`. */
+/** Entry point of the `kingcupdeck` program. */
 import * as cli from './cli.js'
 import * as exitCodes from './exitCodes.js'
 import * as output from './output.js'
 
-// A reader that has seen enough, as `head` does, is no failure.
+// A reader that closes the pipe early, such as `head`, is not an error.
 process.stdout.on('error', err => { if ((err as NodeJS.ErrnoException).code !== 'EPIPE') throw err })
 
 cli.runCli(process.argv.slice(2)).catch(err => {
--- a/packages/kingcupdeck/src/operatorClient.ts
+++ b/packages/kingcupdeck/src/operatorClient.ts
@@ -1,22 +1,19 @@
-/** The operators' commands as calls to a control instance. */
+/** HTTP client for the operator API of a control instance and the explain and addresses paths of a router instance. */
 import * as undici from 'undici'
 import * as contracts from '@kingcupdeck/contracts'
 
-/** What a control instance answered. */
+/** The outcome of an API call: success, an error answer, or no usable answer. */
 export type OperatorReply<T> = { kind: 'ok', body: T } | { kind: 'failed', status: number, error: contracts.ErrorBody['error'], body: Record<string, unknown> } | { kind: 'unreachable', detail: string }
 
-/** Where and as whom an operator calls. */
+/** Base URL of an instance and the token to call it with. */
 export interface OperatorTarget { address: string, token: string }
 
 const CALL_TIMEOUT_MS = 10_000
 
 /**
- * Calls a control instance.
- * @param target where and as whom
- * @param method HTTP method
+ * Calls the API of an instance.
  * @param path path and query
- * @param body sent as JSON where given
- * @returns what it answered
+ * @param body sent as JSON unless undefined
  */
 export async function callOperatorApi<T> (target: OperatorTarget, method: 'GET' | 'PUT' | 'POST', path: string, body?: unknown): Promise<OperatorReply<T>> {
   try {
--- a/packages/kingcupdeck/src/output.ts
+++ b/packages/kingcupdeck/src/output.ts
@@ -1,33 +1,22 @@
-/** What the commands print: results to standard output, remarks to standard error. */
+/** Output of the commands: results to standard output, diagnostics to standard error. */
 import * as exitCodes from './exitCodes.js'
 import type * as operatorClient from './operatorClient.js'
 
-/**
- * Prints a result.
- * @param line one line or more
- */
+/** Prints a result to standard output. */
 export function print (line: string): void {
   process.stdout.write(line + '\n')
 }
 
-/**
- * Prints a remark.
- * @param line one line or more
- */
+/** Prints a diagnostic message to standard error. */
 export function printDiagnostic (line: string): void {
   process.stderr.write(line + '\n')
 }
 
-/**
- * Prints why an operator's call failed.
- * @param reply what came back
- * @param json print JSON
- * @returns the exit code that goes with it
- */
+/** Prints the error of a failed API call and returns the matching exit code. */
 export function printFailure (reply: Exclude<operatorClient.OperatorReply<unknown>, { kind: 'ok' }>, json: boolean): exitCodes.ExitCode {
   if (reply.kind === 'unreachable') {
     if (json) print(JSON.stringify({ error: { type: 'unreachable', message: reply.detail } }))
-    else printDiagnostic(`No answer: ${reply.detail}. Check --address, and that a quorum of control instances is up.`)
+    else printDiagnostic(`No answer: ${reply.detail}. Check --address and that a quorum of control instances is running.`)
     return exitCodes.ExitCode.unreachable
   }
   if (json) print(JSON.stringify(reply.body))
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,5 +1,5 @@
-// Bundles each of the platform's programs into one file, with the code that it compiles at its start beside it: a restart on
-// a small share of a processor then neither reads hundreds of files nor compiles them again.
+// Bundles each platform program into a single file and writes its V8 code cache next to it, so that a restart with little CPU
+// neither loads hundreds of modules nor compiles them again.
 import * as childProcess from 'node:child_process'
 import * as fs from 'node:fs'
 import * as path from 'node:path'
@@ -10,8 +10,8 @@
 const root = path.dirname(path.dirname(url.fileURLToPath(import.meta.url)))
 const packages = fs.readdirSync(path.join(root, 'packages'))
 
-/** The program that the platform starts: runs the bundle with its compiled code. */
-function toLoader (name) {
+/** Source of the loader that runs a bundle with its code cache. */
+function createLoader (name) {
   return `
 const fs = require('node:fs')
 const path = require('node:path')
@@ -28,66 +28,66 @@
 }
 
 /**
- * The flags that the deployment starts a program with. Compiled code is only taken by a process with the same ones: with others
- * it compiles everything again at each start, and nothing tells so.
+ * Returns the Node.js flags that the deployment starts a program with. V8 silently rejects a code cache that was created with
+ * other flags and compiles everything again at each start.
  */
-function toFlags (name) {
+function readNodeFlags (name) {
   const deployment = fs.readFileSync(path.join(root, 'deploy', 'system.toml'), 'utf8')
   const run = new RegExp(`^run = "node (.*)target/${name}\\.cjs"$`, 'm').exec(deployment)
-  if (run === null) throw new Error(`deploy/system.toml does not start target/${name}.cjs with node: correct its run line`)
+  if (run === null) throw new Error(`deploy/system.toml does not start target/${name}.cjs with node; its run line must be "node … target/${name}.cjs"`)
   return run[1].split(' ').filter(flag => flag !== '')
 }
 
-/** Runs a program until it has found that there are no settings; what serves requests is compiled when it is first used. */
-function toWarmUp (name) {
+/** Source of the program that creates the code cache: runs a bundle until it exits for lack of settings, so that its startup code is compiled. */
+function createCacheBuilder (name) {
   return `
 const path = require('node:path')
 const fs = require('node:fs')
 process.exit = () => {}
 process.on('unhandledRejection', () => {})
-const { script } = require(path.resolve('target/${toLoaderName(name)}'))
+const { script } = require(path.resolve('target/${toLoaderFile(name)}'))
 setImmediate(() => { fs.writeFileSync('target/${name}.cache', script.createCachedData()); process.reallyExit(0) })
 `
 }
 
-/** The program that the platform starts as a control instance: the first stage, and behind it the rest. */
-const STAGED = `
+/** Source of the control instance's entry file: runs the first stage, which then loads the main bundle. */
+const CONTROL_ENTRY = `
 const path = require('node:path')
 const { runFirstStage } = require('./control.first.cjs')
 runFirstStage(process.env.KINGCUPDECK_CONFIG ?? '/etc/kingcupdeck/local.conf', () => { require(path.join(__dirname, 'control.rest.cjs')) })
 `
 
-/** A control instance's program begins with its first stage, an entry instance's at once. */
-function toLoaderName (name) {
+/** A control instance's loader runs after its first stage; an entry instance's loader is its entry file. */
+function toLoaderFile (name) {
   return name === 'control' ? 'control.rest.cjs' : `${name}.cjs`
 }
 
-/** How each file is bundled. */
-const BUNDLE = { absWorkingDir: root, bundle: true, minify: true, platform: 'node', target: 'node20', format: 'cjs', logLevel: 'warning' }
+/** esbuild options of every bundle. */
+const BUNDLE_OPTIONS = { absWorkingDir: root, bundle: true, minify: true, platform: 'node', target: 'node20', format: 'cjs', logLevel: 'warning' }
 
 await esbuild.build({
-  ...BUNDLE,
+  ...BUNDLE_OPTIONS,
   entryPoints: ['platform/src/firstStage.ts'],
   outfile: 'target/control.first.cjs',
   alias: { '@kingcupdeck/discovery/handout': path.join(root, 'packages/discovery/src/handout.ts') }
 })
-fs.writeFileSync(path.join(root, 'target', 'control.cjs'), STAGED)
+fs.writeFileSync(path.join(root, 'target', 'control.cjs'), CONTROL_ENTRY)
 
 for (const name of PROGRAMS) {
   await esbuild.build({
-    ...BUNDLE,
+    ...BUNDLE_OPTIONS,
     entryPoints: [`platform/src/${name}.ts`],
     outfile: `target/${name}.main.cjs`,
     loader: { '.node': 'copy' },
-    // Leaves out the search for native code of the CBOR library, which finds none beside a bundle.
+    // Skips the CBOR library's lookup of its native addon, which is not available in a bundle.
     define: { 'process.env.CBOR_NATIVE_ACCELERATION_DISABLED': '"true"' },
     alias: {
       '@kingcupdeck/coordination/metrics': path.join(root, 'packages/coordination/src/controlMetrics.ts'),
       ...Object.fromEntries(packages.map(item => [`@kingcupdeck/${item}`, path.join(root, 'packages', item, 'src', 'index.ts')]))
     }
   })
-  fs.writeFileSync(path.join(root, 'target', toLoaderName(name)), toLoader(name))
+  fs.writeFileSync(path.join(root, 'target', toLoaderFile(name)), createLoader(name))
   const env = { ...process.env, KINGCUPDECK_CONFIG: '/nonexistent' }
-  const made = childProcess.spawnSync('node', [...toFlags(name), '-e', toWarmUp(name)], { cwd: root, env, encoding: 'utf8' })
-  if (!fs.existsSync(path.join(root, `target/${name}.cache`))) process.stderr.write(`no code cache for ${name}; it compiles at its start: ${made.stderr}\n`)
+  const res = childProcess.spawnSync('node', [...readNodeFlags(name), '-e', createCacheBuilder(name)], { cwd: root, env, encoding: 'utf8' })
+  if (!fs.existsSync(path.join(root, `target/${name}.cache`))) process.stderr.write(`could not create the code cache for ${name}; the program compiles its code at each start: ${res.stderr}\n`)
 }
--- a/scripts/ensure.mjs
+++ b/scripts/ensure.mjs
@@ -1,4 +1,4 @@
-// Makes a fresh clone ready to run: installs the locked packages and builds, each only when needed.
+// Prepares a fresh clone: installs the locked packages unless they are installed, then builds incrementally.
 import * as childProcess from 'node:child_process'
 import * as fs from 'node:fs'
 import * as path from 'node:path'
--- a/scripts/names.mjs
+++ b/scripts/names.mjs
@@ -1,4 +1,4 @@
-// Checks that nothing outside platform/ uses the platform's names: headers, paths and fields as they stand on the wire.
+// Checks that no package uses names of the platform's protocol (headers, paths, fields), which belong in platform/ only.
 import * as childProcess from 'node:child_process'
 import * as fs from 'node:fs'
 
--- a/scripts/rounds.mjs
+++ b/scripts/rounds.mjs
@@ -1,10 +1,10 @@
 /**
- * Plays days of a deployment with several versions of the tree and prints the paired differences of what the bench reports.
+ * Runs benchmark days of a deployment on several versions of the tree and prints the paired differences of the reported figures.
  *
  * node scripts/rounds.mjs --bench FILE --site FILE --trees old=DIR,new=DIR --days a,b --seeds 1,2,3 [--jobs 4] [--why TEXT]
  *
- * Each tree is a clean checkout with its modules installed; the first one is what the others are compared with. DIR may not lie
- * under /tmp. A day is the name of a standard day or a file of the tree.
+ * Each tree is a clean checkout with its dependencies installed; the first one is the baseline. DIR must not be under /tmp. A day
+ * is the name of a standard day or a file of the tree.
  */
 import * as childProcess from 'node:child_process'
 import * as fs from 'node:fs'
@@ -25,28 +25,28 @@
 })
 for (const name of ['bench', 'site', 'trees', 'days']) {
   if (values[name] === undefined) {
-    console.error(`--${name} is missing: see the head of scripts/rounds.mjs`)
+    console.error(`--${name} is missing; the usage is described at the top of scripts/rounds.mjs`)
     process.exit(2)
   }
 }
 
 const FIGURES = ['worth', 'whole', 'windows', 'class', 'prices', 'reread', 'memory']
-const MOST_OUTPUT_BYTES = 64 * 1024 * 1024
+const MAX_OUTPUT_BYTES = 64 * 1024 * 1024
 const trees = values.trees.split(',').map(item => ({ name: item.split('=')[0], folder: path.resolve(item.split('=')[1]) }))
-const plays = values.days.split(',').flatMap(day => values.seeds.split(',').flatMap(seed => trees.map(tree => ({ day, seed, tree }))))
-const reports = fs.mkdtempSync(path.join(os.tmpdir(), 'rounds-'))
+const runs = values.days.split(',').flatMap(day => values.seeds.split(',').flatMap(seed => trees.map(tree => ({ day, seed, tree }))))
+const reportFolder = fs.mkdtempSync(path.join(os.tmpdir(), 'rounds-'))
 const results = new Map()
 
-/** Plays one day and keeps its figures; a play that leaves no report is kept as failed. */
-async function play (item, index) {
-  const report = path.join(reports, `${index}.json`)
+/** Runs one day and stores its figures; undefined if the run wrote no report. */
+async function runDay (item, index) {
+  const report = path.join(reportFolder, `${index}.json`)
   const args = ['run', path.resolve(values.site), item.day, '--seed', item.seed, '--report', report, '--why', `${values.why}: ${item.tree.name}`]
-  const end = await new Promise(resolve => {
-    childProcess.execFile(path.resolve(values.bench), args, { cwd: item.tree.folder, maxBuffer: MOST_OUTPUT_BYTES }, (err, stdout) => { resolve({ err, stdout }) })
+  const outcome = await new Promise(resolve => {
+    childProcess.execFile(path.resolve(values.bench), args, { cwd: item.tree.folder, maxBuffer: MAX_OUTPUT_BYTES }, (err, stdout) => { resolve({ err, stdout }) })
   })
   const figures = fs.existsSync(report) ? toFigures(JSON.parse(fs.readFileSync(report, 'utf8'))) : undefined
   results.set(`${item.day} ${item.seed} ${item.tree.name}`, figures)
-  if (figures === undefined) console.log(`${item.day} ${item.seed} ${item.tree.name}: no report; ${String(end.err?.message ?? end.stdout).slice(-300)}`)
+  if (figures === undefined) console.log(`${item.day} ${item.seed} ${item.tree.name}: no report; ${String(outcome.err?.message ?? outcome.stdout).slice(-300)}`)
   else console.log(`${item.day} ${item.seed} ${item.tree.name}: ${FIGURES.map(name => `${name} ${figures[name].toFixed(3)}`).join(' ')}${figures.notes}`)
 }
 
@@ -67,23 +67,23 @@
   }
 }
 
-const queue = plays.map((item, index) => ({ item, index }))
+const queue = runs.map((item, index) => ({ item, index }))
 await Promise.all(Array.from({ length: Number(values.jobs) }, async () => {
-  for (let next = queue.shift(); next !== undefined; next = queue.shift()) await play(next.item, next.index)
+  for (let next = queue.shift(); next !== undefined; next = queue.shift()) await runDay(next.item, next.index)
 }))
 
 const mean = list => list.reduce((sum, item) => sum + item, 0) / list.length
-const spread = list => Math.sqrt(mean(list.map(item => (item - mean(list)) ** 2)))
-const [first, ...others] = trees
+const standardDeviation = list => Math.sqrt(mean(list.map(item => (item - mean(list)) ** 2)))
+const [baseline, ...others] = trees
 for (const tree of others) {
   for (const day of values.days.split(',')) {
-    const pairs = values.seeds.split(',').map(seed => [results.get(`${day} ${seed} ${first.name}`), results.get(`${day} ${seed} ${tree.name}`)]).filter(pair => pair.every(item => item !== undefined))
+    const pairs = values.seeds.split(',').map(seed => [results.get(`${day} ${seed} ${baseline.name}`), results.get(`${day} ${seed} ${tree.name}`)]).filter(pair => pair.every(item => item !== undefined))
     if (pairs.length === 0) continue
     const columns = FIGURES.map(name => {
       const differences = pairs.map(([a, b]) => b[name] - a[name])
-      return `${name} ${mean(pairs.map(pair => pair[1][name])).toFixed(3)} (${mean(differences) >= 0 ? '+' : ''}${mean(differences).toFixed(3)} ±${spread(differences).toFixed(3)})`
+      return `${name} ${mean(pairs.map(pair => pair[1][name])).toFixed(3)} (${mean(differences) >= 0 ? '+' : ''}${mean(differences).toFixed(3)} ±${standardDeviation(differences).toFixed(3)})`
     })
-    console.log(`${tree.name} against ${first.name}, ${day}, ${pairs.length} pairs: ${columns.join(', ')}`)
+    console.log(`${tree.name} against ${baseline.name}, ${day}, ${pairs.length} pairs: ${columns.join(', ')}`)
   }
 }
-fs.rmSync(reports, { recursive: true, force: true })
+fs.rmSync(reportFolder, { recursive: true, force: true })
