--- a/packages/trials/__tests__/atMostOnce.test.ts
+++ b/packages/trials/__tests__/atMostOnce.test.ts
@@ -1,4 +1,4 @@
-/** Non-idempotent calls: at most once, whatever is sent again. */
+/** Non-idempotent calls run at most once, however often they are repeated. */
 import * as ava from 'ava'
 import * as uuid from 'uuid'
 import * as smallFleet from './helpers/smallFleet.js'
@@ -15,14 +15,14 @@
 const charge = async (router: number, body: unknown, key?: string): Promise<smallFleet.Reply> => await smallFleet.post(`${fleet.routers[router].url}/v1/services/bookings/charge-deposit`, 'deposits', body, key === undefined ? {} : { 'idempotency-key': key })
 const runsOf = (key: string): number => fleet.plains.reduce((sum, plain) => sum + (plain.keys.get(key) ?? 0), 0)
 
-test.serial('a key is needed, and it must carry its time', async t => {
+test.serial('an idempotency key is required and must contain its creation time', async t => {
   const none = await charge(0, { amount: 1 })
   t.is(smallFleet.toError(none).code, 'key_required')
   t.is(smallFleet.toError(none).ran, 'no')
   for (const key of ['1', uuid.v4()]) t.is(smallFleet.toError(await charge(0, { amount: 1 }, key)).code, 'key_invalid')
 })
 
-test.serial('a repeat at another instance gets the same answer', async t => {
+test.serial('a repeat at another instance gets the stored answer', async t => {
   const key = uuid.v7()
   const first = await charge(0, { amount: 100 }, key)
   t.is(first.status, 200)
@@ -39,8 +39,7 @@
   t.is(runsOf(key), 1)
 })
 
-// An impatient caller sends copies to several addresses at once.
-test.serial('copies sent at once run once and get one answer', async t => {
+test.serial('concurrent copies of a call run once and get the same answer', async t => {
   const key = uuid.v7()
   const replies = await Promise.all([0, 1, 0, 1, 0, 1].map(async router => await charge(router, { amount: 7 }, key)))
   for (const reply of replies) t.is(reply.status, 200, JSON.stringify(reply.body))
@@ -48,7 +47,7 @@
   t.is(runsOf(key), 1)
 })
 
-test.serial('a key older than the retention is refused as not run', async t => {
+test.serial('a key older than the retention period is refused as not run', async t => {
   const key = uuid.v7({ msecs: Date.now() - 25 * 3600 * 1000 })
   const reply = await charge(0, { amount: 7 }, key)
   t.is(smallFleet.toError(reply).code, 'key_expired')
@@ -56,8 +55,8 @@
   t.is(runsOf(key), 0)
 })
 
-// The call reaches the service, and its answer never comes. Nobody knows whether it ran; to repeat it could charge twice.
-test.serial('an answer that never came is unknown and is not repeated', async t => {
+// Guards against a second charge: the call may have run although its response was lost.
+test.serial('a call without a response has an unknown outcome and is not repeated', async t => {
   for (const plain of fleet.plains) plain.dropNextResponse()
   const key = uuid.v7()
   const first = await charge(0, { amount: 9 }, key)
@@ -69,7 +68,7 @@
   t.is(runsOf(key), 1)
 })
 
-test.serial('an idempotent call goes on over a new connection', async t => {
+test.serial('an idempotent call is retried when its response is lost', async t => {
   for (const plain of fleet.plains) plain.dropNextResponse()
   const reply = await smallFleet.post(`${fleet.routers[0].url}/v1/services/bookings/repair-status`, 'clerks', { frame: 12 })
   t.is(reply.status, 200, JSON.stringify(reply.body))
--- a/packages/trials/__tests__/console.test.ts
+++ b/packages/trials/__tests__/console.test.ts
@@ -1,4 +1,4 @@
-/** The operator console in a real browser: keyboard only, at phone width, with faults at their fields and a race. */
+/** The operator console in a browser: keyboard operation, phone width, validation errors and edit conflicts. */
 import * as fs from 'node:fs'
 import * as os from 'node:os'
 import * as path from 'node:path'
@@ -8,7 +8,7 @@
 import * as smallFleet from './helpers/smallFleet.js'
 
 const browserPath = (process.env.PATH ?? '').split(path.delimiter).map(folder => path.join(folder, 'chromium')).find(file => fs.existsSync(file))
-if (browserPath === undefined) process.stderr.write('console tests are skipped: there is no "chromium" on the PATH\n')
+if (browserPath === undefined) process.stderr.write('skipping the console tests: "chromium" was not found on the PATH\n')
 const test = browserPath === undefined ? ava.default.skip : ava.default.serial
 
 let fleet: smallFleet.SmallFleet
@@ -28,12 +28,12 @@
 })
 ava.default.after.always(async () => { for (const run of closing) await run() })
 
-/** Signs in with the keyboard alone: the first field has the focus. */
+/** Signs in with the keyboard; the token field must have the focus. The page fails if it sends requests to another origin. */
 async function signIn (viewport = PHONE): Promise<playwright.Page> {
   const page = await browser.newPage({ viewport })
   const foreign: string[] = []
   page.on('request', req => { if (!req.url().startsWith(fleet.controls[0].url)) foreign.push(req.url()) })
-  page.on('close', () => { if (foreign.length > 0) throw new Error(`requests to elsewhere: ${foreign.join(', ')}`) })
+  page.on('close', () => { if (foreign.length > 0) throw new Error(`the console sent requests to another origin: ${foreign.join(', ')}`) })
   await page.goto(fleet.controls[0].url)
   await page.keyboard.type('demo-operator')
   await page.keyboard.press('Enter')
@@ -55,13 +55,13 @@
   const text = await page.innerText('#panel')
   for (const word of ['r1', 'r2', 'bkk-a', 'assistant', 'leader', 'engine-1', 'ready']) t.true(text.includes(word), word)
   t.true(await page.evaluate('document.documentElement.scrollWidth <= document.documentElement.clientWidth'), 'the page is wider than the phone')
-  const picture = await page.screenshot()
-  if (process.env.CONSOLE_SCREENSHOT !== undefined) fs.writeFileSync(process.env.CONSOLE_SCREENSHOT, picture)
-  t.true(picture.length > 15_000, 'the picture is almost blank')
+  const screenshot = await page.screenshot()
+  if (process.env.CONSOLE_SCREENSHOT !== undefined) fs.writeFileSync(process.env.CONSOLE_SCREENSHOT, screenshot)
+  t.true(screenshot.length > 15_000, 'the screenshot is almost blank')
   await page.close()
 })
 
-test('a change goes through review, with the keyboard alone', async t => {
+test('a change can be reviewed and sent with the keyboard alone', async t => {
   const page = await signIn()
   await openEntry(page, 'clientAccounts', 'clerks')
   await page.fill('#f-clientAccounts-clerks-requestsPerSecond', '75')
@@ -77,7 +77,7 @@
   await page.close()
 })
 
-test('a fault stands at its field and nothing is sent', async t => {
+test('a validation error is shown at its field and nothing is sent', async t => {
   const page = await signIn()
   const before = (await readDocument()).version
   await openEntry(page, 'clientAccounts', 'archive')
@@ -87,13 +87,13 @@
   await page.keyboard.press('Enter')
   await page.waitForSelector('#f-clientAccounts-archive-requestsPerSecond-fault')
   t.is(await page.getAttribute('#f-clientAccounts-archive-requestsPerSecond', 'aria-invalid'), 'true')
-  t.is(await page.inputValue('#f-clientAccounts-archive-priority'), 'royal', 'the entry is lost')
+  t.is(await page.inputValue('#f-clientAccounts-archive-priority'), 'royal', 'the entered value was lost')
   t.is((await readDocument()).version, before)
   await page.close()
 })
 
-// Two operators change the same document. The slower one must see both versions side by side and lose nothing.
-test('a race shows both sides, and going on keeps both changes', async t => {
+// Guards against lost changes when two operators edit the same version.
+test('an edit conflict shows both versions, and a rebase keeps both changes', async t => {
   const page = await signIn({ width: 1100, height: 800 })
   await openEntry(page, 'clientAccounts', 'galleries')
   await page.fill('#f-clientAccounts-galleries-requestsPerSecond', '33')
--- a/packages/trials/__tests__/control.test.ts
+++ b/packages/trials/__tests__/control.test.ts
@@ -1,4 +1,4 @@
-/** Control instances among themselves, and operators who use any of them. */
+/** Operator requests to any control instance, and replication between control instances. */
 import * as ava from 'ava'
 import type * as contracts from '@kingcupdeck/contracts'
 import * as smallFleet from './helpers/smallFleet.js'
@@ -15,10 +15,9 @@
   return health.replicas.find(item => item.group === 'fleet')?.commit ?? 0
 }
 
-// Operators ask each control instance, and each one asks the leader for them. These connections come from a control
-// instance but take no calls; the leader used them for replication, every append failed, and one after the other the
-// replicas fell behind, until no quorum was left and the whole fleet lost its leases.
-test('operators who ask every control instance do not disturb replication', async t => {
+// Followers forward operator requests to the leader over connections of their own. Guards against the leader using these for
+// replication, where every append failed until the quorum was lost.
+test('operator requests to every control instance do not disturb replication', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { controls: 3, routers: 1, engines: 1 })
   for (let round = 0; round < 3; round++) {
     for (const control of fleet.controls) t.is((await ask(control.url)).status, 200)
--- a/packages/trials/__tests__/ownership.test.ts
+++ b/packages/trials/__tests__/ownership.test.ts
@@ -1,15 +1,14 @@
-/** What an owner promises for its endpoints: the load cap, no work for the leaving, orders that never go back. */
+/** Guarantees of an owner for its endpoints: load cap, no requests to leaving engines, and orders in fencing order. */
 import * as ava from 'ava'
 import * as contracts from '@kingcupdeck/contracts'
 import * as smallFleet from './helpers/smallFleet.js'
 
-// One fleet after the other: ten at once in one process would measure the machine.
+// Serial, since concurrent fleets in one process slow each other down until timeouts fail.
 const test = ava.default.serial
 const chat = (content: string, words = 20): unknown => ({ model: 'frame-assistant', max_tokens: words, messages: [{ role: 'user', content }] })
 
-// Many callers come at once through different instances, each of which sees a part. Without an owner per engine, some
-// engine gets far more than its share.
-test('no engine goes over the cap in a burst', async t => {
+// Guards against an engine overloaded by several entry instances that each see a part of its load.
+test('no engine exceeds the load cap in a burst', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { routers: 4, engines: 4 })
   const total = 56
   const replies = await Promise.all(Array.from({ length: total }, async (_, i) => await smallFleet.post(`${fleet.routers[i % 4].url}/v1/chat/completions`, 'clerks', chat(`same ${i % 3}`))))
@@ -20,8 +19,7 @@
   t.true(fleet.routers.some(router => router.invariants().loadCap.checked > 0))
 })
 
-// An engine says that it leaves while callers keep coming. What runs there goes on; nothing new may begin.
-test('a leaving engine finishes its work and gets no more', async t => {
+test('a leaving engine finishes its requests and gets no new ones', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { engines: 2 })
   const send = async (i: number): Promise<smallFleet.Reply> => await smallFleet.post(`${fleet.routers[i % 2].url}/v1/chat/completions`, 'clerks', chat(`frame ${i}`, 60))
   const before = Promise.all(Array.from({ length: 12 }, async (_, i) => await send(i)))
@@ -34,8 +32,8 @@
   t.deepEqual(fleet.engines[0].lateStarts, [])
 })
 
-// A new engine joins, and an operator changes what engines carry. Its cache is empty; chats bring theirs along.
-test('a chat that moves takes its cache along', async t => {
+// Guards against a second prefill of the whole chat after a move.
+test('a chat that moves to another engine has its KV cache imported', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { engines: 1 })
   const url = `${fleet.routers[0].url}/v1/chat/completions`
   const messages: Array<{ role: string, content: string }> = [{ role: 'user', content: 'gold '.repeat(600) }]
@@ -55,10 +53,9 @@
   t.true(totals.cached / totals.prompt > 0.9, `${totals.cached} of ${totals.prompt}`)
 })
 
-// The operator's change reaches the engines as orders. Engines that check fencing numbers refuse an old one; for those
-// that do not, only the owner sends orders, and it never goes back.
+// Guards against orders out of fencing order, for engines with and without a check of fencing numbers.
 for (const checksFencing of [true, false]) {
-  test(`orders follow the document, checked at the engine: ${checksFencing}`, async t => {
+  test(`engines load the models of a changed document in fencing order (checksFencing: ${checksFencing})`, async t => {
     const fleet = await smallFleet.startSmallFleet(t, { engines: 2, checksFencing })
     const target = `${fleet.controls[0].url}/v1/config`
     const headers = { authorization: 'Bearer demo-operator', 'content-type': 'application/json' }
@@ -78,25 +75,25 @@
   })
 }
 
-// An instance is told to stop while a stream runs through it, as entry and as owner. The caller must notice nothing.
-test('a graceful shutdown cuts no stream', async t => {
+// The stopping instance is entry and owner of running requests. Guards against requests cut off by its shutdown.
+test('a graceful shutdown interrupts no request', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { routers: 2, engines: 2 })
   const streams = Promise.all([0, 1].map(async i => await smallFleet.post(`${fleet.routers[i].url}/v1/chat/completions`, 'clerks', chat(`long ${i}`, 400))))
   await smallFleet.waitUntil(() => fleet.engines.some(engine => engine.model.load() > 0))
-  const gone = fleet.routers[0].shutdown()
+  const stopped = fleet.routers[0].shutdown()
   await smallFleet.pause(1500)
   const late = await smallFleet.post(`${fleet.routers[0].url}/v1/chat/completions`, 'clerks', chat('an old address'))
-  t.is(late.status, 200, 'callers that hold the old address are still served')
+  t.is(late.status, 200, 'a caller with the old address was not served')
   const list = await fetch(`${fleet.routers[1].url}/v1/addresses`, { headers: { authorization: 'Bearer demo-clerks' } }).then(async res => await res.json() as contracts.AddressList)
   t.deepEqual(list.addresses.map(item => item.instance), ['r2'])
   for (const reply of await streams) t.is(reply.status, 200, JSON.stringify(reply.body))
-  await gone
+  await stopped
   const after = await smallFleet.post(`${fleet.routers[1].url}/v1/chat/completions`, 'clerks', chat('afterwards'))
   t.is(after.status, 200)
 })
 
-// Something between two instances forgets their connection: it stays open, and nothing comes through. New ones work.
-test('a link that went silent is replaced and the answer is whole', async t => {
+// The connection stays open but delivers nothing, as after a NAT table loss. New connections work.
+test('an unresponsive link is replaced and answers are complete', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { routers: 3, engines: 3, isRelayed: true })
   const replies = Promise.all(Array.from({ length: 9 }, async (_, i) => await smallFleet.post(`${fleet.routers[i % 3].url}/v1/chat/completions`, 'clerks', chat(`silent ${i}`, 500))))
   await smallFleet.pause(400)
@@ -105,24 +102,22 @@
   t.true(fleet.logLines.some(line => line.includes('"event":"linkSilent"')))
 })
 
-// An engine dies and is back at once without its models. Chats that last ran there are pointed to it, it refuses each at
-// once, and looks idle by that: before the guard such chats ended in an error after five tries at the same engine.
-test('chats leave an engine that lost its models', async t => {
+// The restarted engine refuses every request and so has no load. Guards against retries that all go to this engine.
+test('chats move away from an engine that restarted without its models', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { routers: 2, engines: 3 })
   const turn = async (i: number): Promise<smallFleet.Reply> => await smallFleet.post(`${fleet.routers[i % 2].url}/v1/chat/completions`, 'clerks', chat(`opening ${i}`, 40), { 'x-chat-id': `chat-${i}` })
   const first = await Promise.all(Array.from({ length: 40 }, async (_, i) => await turn(i)))
   t.true(first.every(reply => reply.status === 200))
   const dead = fleet.engines[1]
   dead.kill()
-  const reborn = await fleet.addEngine('engine-2', Object.keys(fleet.document.zones)[1], dead.port)
-  reborn.refuseOrders()
+  const restarted = await fleet.addEngine('engine-2', Object.keys(fleet.document.zones)[1], dead.port)
+  restarted.refuseOrders()
   const second = await Promise.all(Array.from({ length: 40 }, async (_, i) => await turn(i)))
   t.deepEqual(second.filter(reply => reply.status !== 200).map(reply => reply.body), [])
 })
 
-// The control instances are gone for good and the lease runs out. The instance does not know whether somebody else owns its
-// endpoints by now: it must refuse, say that nothing ran, and send nothing.
-test('without a lease nothing is dispatched', async t => {
+// Guards against two owners: after its lease expired, another instance may own the endpoints.
+test('an instance without a lease refuses requests as not run', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { routers: 1, engines: 1 })
   const url = `${fleet.routers[0].url}/v1/chat/completions`
   t.is((await smallFleet.post(url, 'clerks', chat('before'))).status, 200)
--- a/packages/trials/__tests__/poison.test.ts
+++ b/packages/trials/__tests__/poison.test.ts
@@ -1,4 +1,4 @@
-/** A request that crashes each endpoint that runs it, and whose caller sends it again. */
+/** Quarantine of a request that crashes every engine it runs on. */
 import * as ava from 'ava'
 import * as answers from '../src/standIn/answers.js'
 import * as engineServer from '../src/standIn/engineServer.js'
@@ -6,9 +6,9 @@
 
 const test = ava.default
 
-// The caller sends the crashing request again and again. Without the quarantine every engine dies in turn and everyone's
-// answers with it. Order: it kills one engine, is tried apart from other suspects, kills a second one, is held back.
-test('it costs two engines at most, and its neighbours are answered', async t => {
+// Guards against the loss of all engines in turn. The request crashes one engine, is retried in isolation, crashes a second
+// one, and is refused from then on.
+test('a crashing request takes down at most two engines, and concurrent requests are answered', async t => {
   const fleet = await smallFleet.startSmallFleet(t, { engines: 5 })
   const url = `${fleet.routers[0].url}/v1/chat/completions`
   const neighbours = Array.from({ length: 8 }, (_, i) => ({ model: 'frame-assistant', max_tokens: 60, messages: [{ role: 'user', content: `neighbour ${i}` }] }))
--- a/packages/trials/__tests__/streams.test.ts
+++ b/packages/trials/__tests__/streams.test.ts
@@ -1,4 +1,4 @@
-/** Whole answer, own answer: streams that break in every way an engine or a connection can break them. */
+/** Streams that break in several ways still give the caller the complete and correct answer. */
 import * as ava from 'ava'
 import * as answers from '../src/standIn/answers.js'
 import * as engineServer from '../src/standIn/engineServer.js'
@@ -21,10 +21,9 @@
   return events.slice(0, -1).map(data => (JSON.parse(data) as { choices: Array<{ delta: { content?: string } }> }).choices[0].delta.content ?? '').join('')
 }
 
-// What the caller sees without the guards: half an answer passed off as whole (cut, stall), words twice (duplicate), or
-// another caller's words (cross). Each engine is told to break the next stream in this way.
+// Guards against truncated answers (cut, stall, gap), repeated words (duplicate) and words of another answer (cross).
 for (const fault of ['cut', 'stall', 'gap', 'cross', 'duplicate', 'error'] as const) {
-  test.serial(`a stream with the fault "${fault}" is whole in the end`, async t => {
+  test.serial(`a stream with the fault "${fault}" gives the complete answer`, async t => {
     for (const engine of fleet.engines) engine.setFault(fault)
     const content = `tell me of the frame ${fault}`
     t.is(await askStreaming(content, 30), answers.toAnswerText([{ role: 'user', content }], 30))
@@ -32,8 +31,8 @@
   })
 }
 
-// An engine dies in the middle of an answer. Another one goes on from the words that the caller has already.
-test.serial('a stream goes on at another engine when its own dies', async t => {
+// Another engine resumes after the words that were sent already.
+test.serial('a stream resumes at another engine when its engine crashes', async t => {
   const content = 'a long report on the condition of the frame'
   const answer = askStreaming(content, 120)
   await smallFleet.waitUntil(() => fleet.engines.some(engine => engine.model.load() > 0))
--- a/packages/trials/src/bench.ts
+++ b/packages/trials/src/bench.ts
@@ -1,6 +1,6 @@
 /**
- * The bench: the chosen policy against our own baselines in the same code, for both deployments and their days, open loop,
- * fixed seeds. Prints tables, and as its last line one JSON object by deployment and policy.
+ * Benchmark: compares the placement policies for both deployments under open-loop traffic with fixed seeds. Prints tables, and
+ * one JSON object by deployment and policy as its last line.
  */
 import * as childProcess from 'node:child_process'
 import * as path from 'node:path'
@@ -14,7 +14,7 @@
 const seconds = Number(flags.seconds ?? (isQuick ? 14 : 24))
 const runs = isQuick ? 1 : Number(flags.runs)
 
-/** One line of the comparison. */
+/** One row of the comparison. */
 interface PolicyRun { name: string, policy: benchRun.BenchInput['policy'], isImporting: boolean, loadFactor: number, runs: number }
 
 const DEFAULT_LOAD_FACTOR = 1.25
@@ -59,7 +59,7 @@
   }
 }))
 
-/** Median, lowest and highest. */
+/** Returns the median (the lower one for even lengths), the lowest and the highest value. */
 function toMedianAndRange (list: number[], digits: number): [number, number, number] {
   const sorted = [...list].sort((a, b) => a - b)
   return [sorted[Math.floor((sorted.length - 1) / 2)], sorted[0], sorted[sorted.length - 1]].map(value => Number(value.toFixed(digits))) as [number, number, number]
--- a/packages/trials/src/benchRun.ts
+++ b/packages/trials/src/benchRun.ts
@@ -1,6 +1,6 @@
 /**
- * One run of the bench: a whole fleet in this process, a day of one deployment with churn, one policy. Prints one JSON
- * line. The bench starts many of these, each in a process of its own.
+ * One run of the benchmark: a fleet in this process, one policy, and traffic with churn. Prints one JSON line. bench.ts starts
+ * one process per run.
  */
 import * as hdr from 'hdr-histogram-js'
 import type * as routing from '@kingcupdeck/routing'
@@ -11,7 +11,7 @@
 import * as engineModel from './standIn/engineModel.js'
 import * as workloads from './workload.js'
 
-/** What a run is told. */
+/** Input of a run, passed as JSON in the first argument. */
 export interface BenchInput {
   deployment: 'suwanrat' | 'vanua'
   policy: routing.PlacementPolicy
@@ -21,7 +21,7 @@
   seconds: number
 }
 
-/** What a run found. */
+/** Output of a run. */
 export interface BenchFigures {
   cacheReuse: number
   importedMB: number
@@ -40,9 +40,9 @@
   bytesByMessage: Record<string, number>
 }
 
-/** The machines of the two users, as they are today. */
+/** Fleet sizes of the two deployments. */
 const FLEET_SIZES = { suwanrat: { routers: 9, engines: 8, plains: 3 }, vanua: { routers: 9, engines: 13, plains: 3 } }
-/** Slower than the usual engine, so that several requests run on each at once with little work for the processor. */
+/** Slower than the default engine, so that requests overlap on each engine at a low CPU load. */
 const ENGINE_SPEED: engineModel.EngineSpeed = { slots: 24, cacheBlocks: 2200, prefillTokensPerSecond: 6000, decodeMs: 24, decodeMsPerNeighbour: 1 }
 const SURGING_ACCOUNTS = { suwanrat: 'galleries', vanua: 'village-toge' }
 const ACCOUNT_PRIORITIES: Record<string, string> = { conservators: 'urgent', clerks: 'interactive', trucks: 'urgent', members: 'interactive', galleries: 'interactive', 'village-toge': 'interactive' }
@@ -91,7 +91,7 @@
 const measuredFrom = performance.now()
 
 await pauseForShare(0.1)
-// Churn: one engine leaves and comes back empty, one joins, one flaps.
+// Churn: one engine leaves and restarts with an empty cache, one joins, and one crashes twice.
 await startLeaving(0)
 await pauseForShare(0.15)
 await fleet.addEngine('engine-new')
@@ -142,7 +142,7 @@
   return values.flat().filter(item => item.labels.class === 'control').reduce((sum, item) => sum + item.value, 0)
 }
 
-/** Bytes an instance sends and receives a second, by message, from its start. */
+/** Returns the control bytes per instance and second since the start, by direction and message. */
 async function readBytesByMessage (): Promise<Record<string, number>> {
   const sums: Record<string, number> = {}
   for (const router of fleet.routers) {
@@ -161,14 +161,14 @@
   await engine.leave()
 }
 
-/** The engine that left comes back as a new process with an empty cache. */
+/** Replaces an engine by a new one with the same id and an empty cache. */
 async function restartEngine (i: number): Promise<void> {
   const engine = fleet.engines[i]
   engine.kill()
   await fleet.addEngine(`engine-${i + 1}`, Object.keys(fleet.document.zones)[i % 3])
 }
 
-/** An engine dies and is back at once. */
+/** Kills an engine and starts its replacement without waiting for it. */
 function crashAndReplace (i: number): void {
   const engine = fleet.engines[i]
   departed.add(engine)
--- a/packages/trials/src/callers.ts
+++ b/packages/trials/src/callers.ts
@@ -1,48 +1,46 @@
-/** Callers of a trial: they ask for addresses, keep the answer, connect, check what they get by content, and count. */
+/** Clients of a test run: they resolve and cache instance addresses, send requests, check the content of answers, and count results. */
 import * as undici from 'undici'
 import * as uuid from 'uuid'
 import * as contracts from '@kingcupdeck/contracts'
 import * as answers from './standIn/answers.js'
 
-/** What callers counted. */
+/** Counters of the callers of a test run. */
 export interface CallerStats {
   answered: number
   refusedNotRun: number
+  /** Requests with a broken connection, or a refusal that does not rule out that the request ran. */
   unknown: number
   wrongAnswers: number
-  /** Of wrong answers, the first few: who got what in place of what. */
+  /** One description for each wrong answer. */
   wrongDetails: string[]
-  /** Ids of requests that were refused with "not run". */
+  /** Ids of requests that were refused as not run. */
   notRunRequestIds: string[]
-  /** Requests by the kind of their refusal. */
+  /** Refusals by error type. */
   refusalsByType: Map<string, number>
-  /** Refusals by client account. */
   refusalsByAccount: Map<string, number>
-  /** First token, ms, by client account. */
+  /** Times to the first token of streamed answers, ms, by client account. */
   firstTokenMsByAccount: Map<string, number[]>
-  /** Idempotency keys that got an answer, with the answer. */
+  /** Answers by idempotency key. */
   answersByKey: Map<string, string>
 }
 
-/** @returns a stats of nothing */
 export function createCallerStats (): CallerStats {
   return { answered: 0, refusedNotRun: 0, unknown: 0, wrongAnswers: 0, wrongDetails: [], notRunRequestIds: [], refusalsByType: new Map(), refusalsByAccount: new Map(), firstTokenMsByAccount: new Map(), answersByKey: new Map() }
 }
 
-/** A caller's way to the fleet. */
+/** Instance addresses that a caller resolved, until their maximum age. */
 export interface AddressCache {
-  /** @returns the base URL to use now */
+  /** Returns the base URL for a request, from the cache or from `GET /v1/addresses` with the query. */
   resolve (query: Record<string, string>): Promise<string>
-  /** Forgets an address that did not work. */
+  /** Removes an address that failed from the cache. */
   drop (url: string): void
 }
 
 /**
- * Creates an address book that knows some instances from its settings.
- * @param seeds base URLs
- * @param token the client account's token
- * @param random a number in [0, 1)
- * @returns the book
+ * Creates an empty address cache.
+ * @param seeds base URLs to fetch addresses from; they are the addresses to use if none of them answers
+ * @param token token of the client account
+ * @param random returns numbers in [0, 1)
  */
 export function createAddressCache (seeds: readonly string[], token: string, random: () => number): AddressCache {
   const cache = new Map<string, { urls: string[], until: number }>()
@@ -50,11 +48,11 @@
     for (let tries = 0; tries < seeds.length * 2; tries++) {
       const seed = seeds[Math.floor(random() * seeds.length)]
       try {
-        const res = await undici.request(`${seed}/v1/addresses?${new URLSearchParams(query).toString()}`, { headers: { authorization: `Bearer ${token}` }, signal: AbortSignal.timeout(1000) })
+        const res = await undici.request(`${seed}/v1/addresses?${new URLSearchParams(query).toString()}`, { headers: { authorization: `Bearer ${token}` }, signal: AbortSignal.timeout(ADDRESSES_TIMEOUT_MS) })
         const list = contracts.addressList.parse(await res.body.json())
         if (list.addresses.length > 0) return { urls: list.addresses.map(item => item.url), until: performance.now() + list.maxAgeSeconds * 1000 }
       } catch {
-        // The next instance may know.
+        // Tries another seed.
       }
     }
     return { urls: [...seeds], until: 0 }
@@ -62,21 +60,20 @@
   return {
     async resolve (query) {
       const key = JSON.stringify(query)
-      let known = cache.get(key)
-      if (known === undefined || known.until < performance.now() || known.urls.length === 0) {
-        known = await fetchAddresses(query)
-        cache.set(key, known)
-        if (cache.size > 5000) cache.delete(cache.keys().next().value as string)
+      let entry = cache.get(key)
+      if (entry === undefined || entry.until < performance.now() || entry.urls.length === 0) {
+        entry = await fetchAddresses(query)
+        cache.set(key, entry)
+        if (cache.size > MAX_CACHED_QUERIES) cache.delete(cache.keys().next().value as string)
       }
-      return known.urls[0]
+      return entry.urls[0]
     },
     drop (url) {
-      for (const known of cache.values()) known.urls = known.urls.filter(other => other !== url)
+      for (const entry of cache.values()) entry.urls = entry.urls.filter(other => other !== url)
     }
   }
 }
 
-/** What a caller is. */
 export interface CallerOptions {
   account: string
   stats: CallerStats
@@ -85,21 +82,22 @@
   headers?: Record<string, string>
 }
 
-/** How a request ended for its caller. */
+/** Result of a request as its caller sees it. */
 export type CallResult =
   | { kind: 'answered', text: string, requestId: string }
   | { kind: 'refused', ran: string, type: string, requestId: string, retryAfterMs: number }
   | { kind: 'broken' }
 
 const CALL_TIMEOUT_MS = 40_000
+const ADDRESSES_TIMEOUT_MS = 1000
+const MAX_CACHED_QUERIES = 5000
 
 /**
- * Sends one turn of a chat and checks the answer by content; on a broken connection goes to another address.
- * @param opts the caller
- * @param chat the chat's id
+ * Sends one turn of a chat and checks the content of the answer. Retries at another address if the connection breaks or the
+ * instance does not serve.
+ * @param chat id of the chat
  * @param messages the chat so far
- * @param params model, answer length and whether to stream
- * @returns how it ended
+ * @param params model, number of words in the answer, and whether it is streamed
  */
 export async function sendTurn (opts: CallerOptions, chat: string, messages: answers.Message[], params: { model: string, words: number, stream: boolean }): Promise<CallResult> {
   for (let attempt = 0; ; attempt++) {
@@ -190,15 +188,12 @@
   return { kind: 'refused', ran: error.ran, type: error.type, requestId: error.request_id ?? '', retryAfterMs: error.retry_after_ms ?? 0 }
 }
 
-/** What a caller of a plain service asks. */
+/** A call of a plain service. */
 export interface PlainCallInput { service: string, call: string, body: unknown, key?: string }
 
 /**
- * Calls a plain service once at some address.
- * @param opts the caller
+ * Calls a plain service once, without retries.
  * @param url base URL of an instance
- * @param input the call
- * @returns how it ended
  */
 export async function sendPlain (opts: CallerOptions, url: string, input: PlainCallInput): Promise<CallResult> {
   try {
@@ -214,24 +209,23 @@
 }
 
 /**
- * Makes a non-idempotent call and sends it again, with the same key, until its outcome is known or known to be unknown.
- * @param opts the caller
- * @param input the call; its key is made here
- * @param duplicateProbability the chance that the caller sends a copy to a second address at once
- * @param random a number in [0, 1)
+ * Sends a non-idempotent call with a new key, and repeats it with that key until it is answered, refused with a final error,
+ * or out of tries.
+ * @param duplicateProbability probability that a try is sent to two addresses concurrently
+ * @param random returns numbers in [0, 1)
  * @returns the key
  */
 export async function sendAtMostOnce (opts: CallerOptions, input: Omit<PlainCallInput, 'key'>, duplicateProbability: number, random: () => number): Promise<string> {
   const key = uuid.v7()
   const send = async (): Promise<CallResult> => {
     const url = await opts.addresses.resolve({ seed: key, turn: String(Math.floor(random() * 3)) })
-    const end = await sendPlain(opts, url, { ...input, key })
-    if (end.kind === 'broken') opts.addresses.drop(url)
-    return end
+    const result = await sendPlain(opts, url, { ...input, key })
+    if (result.kind === 'broken') opts.addresses.drop(url)
+    return result
   }
   for (let tries = 0; tries < 6; tries++) {
     const results = random() < duplicateProbability ? await Promise.all([send(), send()]) : [await send()]
-    const answered = results.find(end => end.kind === 'answered')
+    const answered = results.find(result => result.kind === 'answered')
     if (answered?.kind === 'answered') {
       opts.stats.answersByKey.set(key, answered.text)
       recordResult(opts, answered, isEchoOf(answered.text, input) ? answered.text : '')
--- a/packages/trials/src/demo.ts
+++ b/packages/trials/src/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: Suwanrat's document, a fleet of separate processes, a small day, and losses on the way. The last line is one
- * JSON object whose figures are counted by the callers and the stand-ins, not by the routers.
+ * Demo: the Suwanrat deployment under load while instances and engines fail. Prints one JSON object as its last line; its
+ * figures come from the callers and the stand-ins, not from the routers.
  */
 import * as fleets from './fleet.js'
 import * as observers from './observers.js'
@@ -20,9 +20,9 @@
 const startedAt = performance.now()
 const sinceStart = (): string => `${((performance.now() - startedAt) / 1000).toFixed(1)} s`
 
-print('Starting Suwanrat: 8 router and 3 control instances in 3 zones, 8 engines, 3 runners for bookings.')
+print('Starting the Suwanrat deployment: 8 router and 3 control instances in 3 zones, 8 engines, 3 bookings endpoints.')
 const fleet = await fleets.startFleet({ deployment: 'suwanrat', routers: 8, controls: 3, engines: 8, plains: 3 })
-print(`${sinceStart()}  every instance serves and every engine carries its models`)
+print(`${sinceStart()}  every router instance serves and every engine has loaded its models`)
 const observer = observers.startObserver(fleet)
 const bytesBefore = await observers.readLinkBytes(fleet)
 const loadStartedAt = performance.now()
@@ -39,7 +39,7 @@
 print(`${sinceStart()}  ${fleet.engines[1].id} is leaving`)
 await sleep(SECONDS * 0.2)
 fleet.routers[2].start()
-print(`${sinceStart()}  started router instance ${fleet.routers[2].id} again`)
+print(`${sinceStart()}  restarted router instance ${fleet.routers[2].id}`)
 await sleep(SECONDS * 0.2)
 
 const seconds = (performance.now() - loadStartedAt) / 1000
--- a/packages/trials/src/faults.ts
+++ b/packages/trials/src/faults.ts
@@ -1,10 +1,9 @@
-/** The faults of a soak run: what each does, how long it lasts, and how it ends. Plans are drawn by fast-check from a seed. */
+/** Fault injection for the soak run. Plans are drawn by fast-check from a seed. */
 import * as fs from 'node:fs'
 import * as fc from 'fast-check'
 import * as undici from 'undici'
 import type * as fleets from './fleet.js'
 
-/** The kinds of faults. */
 export const FAULT_KINDS = [
   'killRouter', 'freezeRouter', 'stopRouter', 'cutRouter', 'silenceRouter', 'forgetLinks',
   'killControl', 'freezeControl', 'cutControl', 'silenceControl', 'wipeControl',
@@ -12,17 +11,17 @@
   'stallStream', 'gapStream', 'cutStream', 'crossStream', 'duplicateStream', 'engineError', 'silentPlain',
   'raceOperators', 'surge', 'poison'
 ] as const
-/** A kind of fault. */
 export type FaultKind = typeof FAULT_KINDS[number]
 
-/** One fault of a plan. */
+/** Most routers, control instances or engines with an active fault at the same time. */
+const MAX_FAULTY_PER_ROLE = 2
+
+/** One fault of a plan: `pauseMs` precedes it, and `target` selects an item among those that are free at that time. */
 export interface Fault { kind: FaultKind, target: number, durationMs: number, pauseMs: number }
 
 /**
- * Draws a plan.
- * @param seed the same seed gives the same plan
- * @param length number of faults
- * @returns the faults in their order; every kind comes once before any comes twice
+ * Draws a plan of faults; equal seeds give equal plans.
+ * @returns the faults in order; every kind occurs once before any occurs twice
  */
 export function drawPlan (seed: number, length: number): Fault[] {
   const details = fc.record({ target: fc.nat(1000), durationMs: fc.integer({ min: 800, max: 7500 }), pauseMs: fc.integer({ min: 300, max: 1800 }) })
@@ -31,26 +30,23 @@
   return fc.sample(details, { seed, numRuns: length }).map((item, i) => ({ ...item, kind: kinds[i] }))
 }
 
-/** What a fault needs of the run. */
+/** The parts of a soak run that faults act on. */
 export interface FaultContext {
   fleet: fleets.Fleet
-  /** Parts that a fault holds now; no second fault touches them. */
+  /** Ids of processes with an active fault, which get no second one. */
   busy: Set<string>
-  /** @returns whether every control replica is a voter and none is being repaired */
+  /** Returns whether no fault is active, every control replica is a voter and none is being repaired. */
   isFullyReplicated (): Promise<boolean>
   raceOperators (): Promise<void>
   surge (): Promise<void>
   poison (): Promise<void>
 }
 
-/** Ends a fault. */
 export type RevertFault = () => Promise<void>
 
 /**
- * Begins a fault.
- * @param ctx the run
- * @param fault which
- * @returns how to end it, or undefined where it would be more than the promises cover now
+ * Injects a fault.
+ * @returns a function that reverts it, or undefined if the fault would exceed what the fleet tolerates now
  */
 export async function injectFault (ctx: FaultContext, fault: Fault): Promise<RevertFault | undefined> {
   switch (fault.kind) {
@@ -86,7 +82,7 @@
     case 'cutControl': return await onControl(ctx, fault, async node => setRelays(relaysAround(ctx, node), 'cut'))
     case 'silenceControl': return await onControl(ctx, fault, async node => setRelays(relaysAround(ctx, node), 'silent'))
     case 'wipeControl': {
-      // A second disk is lost only when the first repair is done: that is what a repair promises.
+      // The fleet tolerates the loss of one disk at a time: the previous repair must be complete.
       if (!await ctx.isFullyReplicated()) return undefined
       return await onControl(ctx, fault, async node => {
         await node.process.kill()
@@ -145,12 +141,13 @@
   return async () => { for (const item of relays) item.setMode('open') }
 }
 
-/** All relays that lead to a control instance or away from it. */
+/** Returns all relays to and from a control instance. */
 function relaysAround (ctx: FaultContext, node: fleets.ControlNode): fleets.NamedRelay[] {
   const others = [...ctx.fleet.routers, ...ctx.fleet.controls].flatMap(other => other.relays.filter(item => item.target === node.id))
   return [...node.relays, ...others]
 }
 
+/** Injects a fault into a free item of the list, unless `limit` items already have one. */
 async function injectOnFree<T extends { id: string }> (ctx: FaultContext, list: readonly T[], target: number, limit: number, inject: (node: T) => Promise<RevertFault>): Promise<RevertFault | undefined> {
   const busyCount = list.filter(node => ctx.busy.has(node.id)).length
   const free = list.filter(node => !ctx.busy.has(node.id))
@@ -164,9 +161,9 @@
   }
 }
 
-const onRouter = async (ctx: FaultContext, fault: Fault, inject: (node: fleets.RouterNode) => Promise<RevertFault>): Promise<RevertFault | undefined> => await injectOnFree(ctx, ctx.fleet.routers, fault.target, 2, inject)
-const onControl = async (ctx: FaultContext, fault: Fault, inject: (node: fleets.ControlNode) => Promise<RevertFault>): Promise<RevertFault | undefined> => await injectOnFree(ctx, ctx.fleet.controls, fault.target, 2, inject)
-const onEngine = async (ctx: FaultContext, fault: Fault, inject: (node: fleets.EndpointNode) => Promise<RevertFault>): Promise<RevertFault | undefined> => await injectOnFree(ctx, ctx.fleet.engines, fault.target, 2, inject)
+const onRouter = async (ctx: FaultContext, fault: Fault, inject: (node: fleets.RouterNode) => Promise<RevertFault>): Promise<RevertFault | undefined> => await injectOnFree(ctx, ctx.fleet.routers, fault.target, MAX_FAULTY_PER_ROLE, inject)
+const onControl = async (ctx: FaultContext, fault: Fault, inject: (node: fleets.ControlNode) => Promise<RevertFault>): Promise<RevertFault | undefined> => await injectOnFree(ctx, ctx.fleet.controls, fault.target, MAX_FAULTY_PER_ROLE, inject)
+const onEngine = async (ctx: FaultContext, fault: Fault, inject: (node: fleets.EndpointNode) => Promise<RevertFault>): Promise<RevertFault | undefined> => await injectOnFree(ctx, ctx.fleet.engines, fault.target, MAX_FAULTY_PER_ROLE, inject)
 
 const onStream = async (ctx: FaultContext, fault: Fault, kind: string): Promise<RevertFault | undefined> => await onEngine(ctx, fault, async node => {
   await post(`${node.url}/fault`, { fault: kind })
--- a/packages/trials/src/fleet.ts
+++ b/packages/trials/src/fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet as separate processes on loopback: control and router instances, engines and plain services. */
+/** A fleet on loopback with one process per control instance, router instance, engine and plain service. */
 import * as fs from 'node:fs'
 import * as os from 'node:os'
 import * as path from 'node:path'
@@ -9,14 +9,13 @@
 import * as relay from './relay.js'
 import * as engineModel from './standIn/engineModel.js'
 
-/** What a fleet is made of. */
 export interface FleetOptions {
   deployment: 'suwanrat' | 'vanua'
   routers: number
   controls: number
   engines: number
   plains: number
-  /** Put relays between instances, so that links can be cut. */
+  /** Places a relay on each link between instances, so that links can be cut. */
   isRelayed?: boolean
   policy?: string
   isKvImportEnabled?: boolean
@@ -24,7 +23,7 @@
   speed?: Partial<engineModel.EngineSpeed>
   snapshotEvery?: number
   ledgerGroups?: number
-  /** How long a call of a plain service takes. */
+  /** Duration of a call at a plain service. */
   callDurationMs?: number
 }
 
@@ -38,25 +37,25 @@
   readonly plains: EndpointNode[]
   readonly modelService: string
   readonly plainService: string
-  /** Ends all processes and removes the data, unless it is to be kept. */
+  /** Kills all processes and removes the data folder unless `isDataKept` is true. */
   stop (isKept?: boolean): Promise<void>
 }
 
-/** A relay with the instance that it leads to. */
+/** A relay with the id of the instance that it connects to. */
 export interface NamedRelay extends relay.Relay { target: string }
 
-/** A router instance of a trial. */
+/** A router instance in a process of its own. */
 export interface RouterNode {
   readonly id: string
   readonly zone: string
   readonly url: string
   process: processes.TrialProcess
-  /** Relays that peers reach it through (target: itself), and through which it reaches the control instances. */
+  /** The relay to its own peer address, and its relays to the control instances; empty without relays. */
   relays: NamedRelay[]
   start (): void
 }
 
-/** A control instance of a trial. */
+/** A control instance in a process of its own. */
 export interface ControlNode {
   readonly id: string
   readonly url: string
@@ -66,7 +65,7 @@
   start (): void
 }
 
-/** An endpoint of a trial. */
+/** An endpoint stand-in in a process of its own. */
 export interface EndpointNode {
   readonly id: string
   readonly zone: string
@@ -76,15 +75,11 @@
 }
 
 const SECRET = 'a-secret-of-the-trial-fleet'
-/** Token of the operator in the deployment documents. */
+/** Operator token in the documents under deployments/. */
 export const OPERATOR_TOKEN = 'demo-operator'
 const READY_TIMEOUT_MS = 20_000
 
-/**
- * Starts a fleet and waits until every router instance serves and knows every endpoint.
- * @param opts what it is made of
- * @returns the fleet
- */
+/** Starts a fleet and waits until every router instance serves with all endpoints and every engine has loaded all models. */
 export async function startFleet (opts: FleetOptions): Promise<Fleet> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kingcupdeck-'))
   const logFolder = path.join(folder, 'logs')
@@ -92,7 +87,7 @@
   if (opts.loadFactor !== undefined) document.services = withLoadFactor(document.services, opts.loadFactor)
   const documentFile = path.join(folder, 'document.json')
   fs.writeFileSync(documentFile, JSON.stringify(document))
-  // An account without a limit that matters, for measurements.
+  // A client account with limits too high to be reached, for measurements.
   document.clientAccounts.latency = { ...document.clientAccounts[Object.keys(document.clientAccounts)[0]], tokens: [contracts.sha256('demo-latency')], requestsPerSecond: 1e6, burst: 1e6, services: Object.keys(document.services) }
   fs.writeFileSync(documentFile, JSON.stringify(document))
   const zones = Object.keys(document.zones)
@@ -104,7 +99,7 @@
   const takePort = (): number => ports.shift() as number
 
   const controlAddresses = Array.from({ length: opts.controls }, (_, i) => ({ id: `c${i + 1}`, peer: takePort(), http: takePort() }))
-  /** The addresses of the control instances as one instance sees them, through relays of its own where asked for. */
+  /** Returns the value of --control for one instance, and starts its relays to the control instances if relays are enabled. */
   const createControlFlag = async (relays: NamedRelay[], selfId?: string): Promise<string> => {
     const list = await Promise.all(controlAddresses.map(async item => {
       if (opts.isRelayed !== true || item.id === selfId) return `${item.id}=127.0.0.1:${item.peer}`
@@ -184,12 +179,7 @@
   return fleet
 }
 
-/**
- * Sets the load factor of all model services.
- * @param services the services of a document
- * @param loadFactor the factor
- * @returns the changed services
- */
+/** Returns the services with the load factor of all model services replaced. */
 export function withLoadFactor (services: contracts.Document['services'], loadFactor: number): contracts.Document['services'] {
   return Object.fromEntries(Object.entries(services).map(([id, spec]) => [id, spec.kind === 'model' ? { ...spec, loadFactor } : spec]))
 }
@@ -204,14 +194,12 @@
     if (isReady && engines.every(state => (state?.carries as unknown[] | undefined)?.length === models)) return
     await new Promise(resolve => setTimeout(resolve, 100))
   }
-  throw new Error(`the fleet is not ready after ${READY_TIMEOUT_MS} ms; logs in ${fleet.folder}`)
+  throw new Error(`the fleet was not ready within ${READY_TIMEOUT_MS} ms; see the logs in ${fleet.folder}`)
 }
 
 /**
- * Gets JSON.
- * @param address the URL
- * @param token sent as a bearer token where given
- * @returns the object
+ * Fetches a JSON object.
+ * @param token sent as a bearer token if given
  */
 export async function getJson (address: string, token?: string): Promise<Record<string, unknown>> {
   const res = await undici.request(address, { signal: AbortSignal.timeout(2000), headers: token === undefined ? {} : { authorization: `Bearer ${token}` } })
--- a/packages/trials/src/index.ts
+++ b/packages/trials/src/index.ts
@@ -1,3 +1,3 @@
-/** What other trials of the project use. */
+/** Helpers that other test programs of the repository import. */
 export * from './random.js'
 export * from './relay.js'
--- a/packages/trials/src/invariantChecks.ts
+++ b/packages/trials/src/invariantChecks.ts
@@ -1,21 +1,21 @@
-/** Invariants of a trial: those that the instances assert themselves, gathered over restarts, and those seen from outside. */
+/** Checks of a test run: invariants that the instances assert themselves, summed over restarts, and checks made from outside. */
 import * as fleets from './fleet.js'
 
-/** How often a check was made, and how often it did not hold. */
+/** How often a check was made, and how often it failed. */
 export interface Tally { checked: number, broken: number }
 
-/** Checks of a trial. */
+/** Checks of a test run, counted by name. */
 export interface Checks {
   check (name: string, holds: boolean, detail: () => string): void
-  /** Adds tallies that instances counted themselves. */
+  /** Adds a tally that was counted elsewhere. */
   add (name: string, tally: Tally): void
   readonly tallies: Map<string, Tally>
+  /** Descriptions of the first failed checks. */
   readonly details: string[]
 }
 
 const MAX_DETAILS = 20
 
-/** @returns no checks yet */
 export function createChecks (): Checks {
   const tallies = new Map<string, Tally>()
   const details: string[] = []
@@ -36,22 +36,15 @@
 
 interface Health { documentVersion: number, serving: boolean, invariants: Record<string, Tally> }
 
-/** Follows the router instances through their restarts. */
+/** Polls the health of all instances across their restarts. */
 export interface HealthMonitor {
-  /** Looks once. */
   poll (): Promise<void>
-  /** Adds what the instances counted to the checks. */
+  /** Adds the tallies of all instances to the checks. */
   finish (): void
-  /** @returns the version in force on each instance that answered last, and whether it serves */
+  /** Returns the document version of each router instance that answered the last poll, and whether the instance serves. */
   versions (): Map<string, { version: number, serving: boolean }>
 }
 
-/**
- * Creates a watch.
- * @param fleet the fleet
- * @param checks where breaks are counted
- * @returns the watch
- */
 export function createHealthMonitor (fleet: fleets.Fleet, checks: Checks): HealthMonitor {
   const latestTallies = new Map<string, Record<string, Tally>>()
   const talliesBeforeRestart: Array<Record<string, Tally>> = []
@@ -62,7 +55,7 @@
     if (health !== undefined) recordTallies(node.id, health.invariants, 'voteSyncedBeforeSent')
   }
 
-  /** @returns whether the process was started anew since the last look, by a count that only grows */
+  /** Stores the tallies and returns whether the process restarted since the last poll, which shows as a decrease of `counter`. */
   const recordTallies = (id: string, tallies: Record<string, Tally>, counter: string): boolean => {
     const before = latestTallies.get(id)
     const isRestarted = before !== undefined && before[counter].checked > tallies[counter].checked
--- a/packages/trials/src/latency.ts
+++ b/packages/trials/src/latency.ts
@@ -1,11 +1,11 @@
-/** What a router instance adds to a call, with and without the hop inside the fleet, and its processor time a request. */
+/** Latency that a router instance adds to a call, with and without a hop to the owner, and CPU time per request. */
 import * as undici from 'undici'
 import * as uuid from 'uuid'
 import * as contracts from '@kingcupdeck/contracts'
 import * as fleets from './fleet.js'
 import * as observers from './observers.js'
 
-/** Milliseconds, and processor time. */
+/** Latencies in milliseconds, and CPU time. */
 export interface LatencyFigures {
   directP50: number
   directP95: number
@@ -18,9 +18,8 @@
 }
 
 /**
- * Measures over separate processes: two router instances in one zone, one runner.
- * @param calls calls a measurement
- * @returns the figures
+ * Measures latency and CPU time with one process per instance, and one plain service.
+ * @param calls number of calls in each measurement
  */
 export async function measureLatency (calls: number): Promise<LatencyFigures> {
   const fleet = await fleets.startFleet({ deployment: 'suwanrat', routers: 4, controls: 1, engines: 1, plains: 1, speed: { decodeMs: 1, decodeMsPerNeighbour: 0.01, slots: 64 }, callDurationMs: 0 })
@@ -51,7 +50,7 @@
     const health = await fleets.getJson(`${node.url}/health`) as unknown as { owned: Array<{ endpoint: string }> }
     if (health.owned.some(item => item.endpoint === endpoint)) return node
   }
-  throw new Error(`nobody owns ${endpoint}`)
+  throw new Error(`no router instance reports that it owns ${endpoint}`)
 }
 
 async function measureCallsMs (calls: number, call: () => Promise<void>): Promise<number[]> {
@@ -83,7 +82,7 @@
   return texts.reduce((sum, text) => sum + Number(/^process_cpu_seconds_total ([\d.]+)/m.exec(text)?.[1] ?? 0), 0)
 }
 
-/** Processor seconds of all router instances for some work, less what they use idle in the same time. */
+/** Returns the CPU seconds that all router instances spend on the calls, minus their idle use over an equal time. */
 async function measureCpuSeconds (fleet: fleets.Fleet, call: () => Promise<void>, calls: number): Promise<number> {
   const start = await readCpuSeconds(fleet)
   const startedAt = performance.now()
@@ -95,7 +94,7 @@
   return Math.max(0, busy - (await readCpuSeconds(fleet) - idleStart))
 }
 
-/** The slope between short and long answers, so that the cost of a request itself falls out. */
+/** Returns CPU microseconds per streamed token, from the difference of long and short answers, which cancels the cost per request. */
 async function measureCpuPerToken (fleet: fleets.Fleet): Promise<number> {
   const streamWords = async (words: number): Promise<void> => {
     const res = await undici.request(`${fleet.routers[0].url}/v1/chat/completions`, { method: 'POST', headers: { authorization: 'Bearer demo-latency' }, body: JSON.stringify({ model: 'frame-assistant', messages: [{ role: 'user', content: 'x' }], max_tokens: words, stream: true }) })
--- a/packages/trials/src/localFleet.ts
+++ b/packages/trials/src/localFleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet in one process over real sockets and files: the libraries that the daemons run, and the stand-ins. */
+/** A fleet in this process, with real sockets and files: control instances, router instances and stand-ins. */
 import * as crypto from 'node:crypto'
 import * as fs from 'node:fs'
 import * as os from 'node:os'
@@ -14,7 +14,6 @@
 import * as engineServer from './standIn/engineServer.js'
 import * as plainServer from './standIn/plainServer.js'
 
-/** What a local fleet is made of. */
 export interface LocalFleetOptions {
   deployment?: 'suwanrat' | 'vanua'
   routers?: number
@@ -22,20 +21,20 @@
   engines?: number
   plains?: number
   speed?: Partial<engineModel.EngineSpeed>
-  /** Changes the document before the fleet starts. */
+  /** Edits the configuration document before the fleet starts. */
   editDocument?: (doc: contracts.Document) => void
-  /** Put a relay before each router's peer address. */
+  /** Places a relay in front of each router's peer address. */
   isRelayed?: boolean
   checksFencing?: boolean
   policy?: routing.PlacementPolicy
   isKvImportEnabled?: boolean
-  /** Seeds the routers' own choices. */
+  /** Random numbers of the routers, for reproducible choices. */
   random?: () => number
-  /** How long a call of a plain service takes. */
+  /** Duration of a call at a plain service. */
   callDurationMs?: number
 }
 
-/** A local fleet. */
+/** A running local fleet. */
 export interface LocalFleet {
   readonly document: contracts.Document
   readonly modelService: string
@@ -47,7 +46,7 @@
   readonly plains: plainServer.PlainServer[]
   /** Log lines of all instances. */
   readonly logLines: string[]
-  /** Starts one more engine; on a port, where an earlier one is replaced. */
+  /** Starts another engine; `port` is given to replace an earlier engine at the same address. */
   addEngine (id: string, zone?: string, port?: number): Promise<engineServer.Engine>
   stop (): Promise<void>
 }
@@ -55,11 +54,7 @@
 const SECRET = 'a-secret-of-the-small-fleet'
 const READY_TIMEOUT_MS = 20_000
 
-/**
- * Starts a fleet and waits until it is ready.
- * @param opts what it is made of
- * @returns the fleet
- */
+/** Starts a fleet and waits until all routers serve with all endpoints and every engine has loaded all models. */
 export async function startLocalFleet (opts: LocalFleetOptions = {}): Promise<LocalFleet> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kingcupdeck-local-'))
   const logLines: string[] = []
@@ -125,11 +120,7 @@
   return fleet
 }
 
-/**
- * Reads the document of a deployment.
- * @param deployment whose
- * @returns the document
- */
+/** Reads and checks the configuration document of a deployment. Throws if it is invalid. */
 export function readDeployment (deployment: string): contracts.Document {
   const file = path.join(processes.ROOT, 'deployments', `${deployment}.json`)
   const checked = contracts.checkDocument(JSON.parse(fs.readFileSync(file, 'utf8')))
@@ -155,23 +146,15 @@
   return true
 }
 
-/**
- * Waits until something holds.
- * @param holds asked again and again
- * @param limitMs gives up after this long
- */
+/** Polls a condition until it holds, and throws after `limitMs`. */
 export async function waitUntil (holds: () => boolean | Promise<boolean>, limitMs = 20_000): Promise<void> {
   const deadline = performance.now() + limitMs
   while (!await holds()) {
-    if (performance.now() > deadline) throw new Error('waited in vain')
+    if (performance.now() > deadline) throw new Error(`the condition did not hold within ${limitMs} ms`)
     await pause(30)
   }
 }
 
-/**
- * Waits.
- * @param ms how long
- */
 export async function pause (ms: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, ms))
 }
--- a/packages/trials/src/observers.ts
+++ b/packages/trials/src/observers.ts
@@ -1,41 +1,38 @@
-/** What a trial sees from outside: counts kept by the stand-ins, and bytes on the sockets of instances. */
+/** Figures of a fleet taken from outside: counters of the stand-ins, and link traffic that instances report. */
 import * as undici from 'undici'
 import * as fleets from './fleet.js'
 
-/** What an engine stand-in says of itself. */
+/** Statistics reported by an engine stand-in. */
 export interface EngineStats { endpoint: string, load: number, prompt: number, cached: number, imported: number, maxLoad: number, finished: number, runs: Array<[string, number]>, orders: Array<{ fence: number, isObeyed: boolean }>, lateStarts: number[], carries: unknown[] }
 
-/** Watches the endpoints of a fleet. */
+/** Polls the statistics of a fleet's endpoints. */
 export interface Observer {
-  /** Stops and takes the last counts. */
+  /** Stops polling and returns the totals after one last poll. */
   finish (): Promise<Observation>
 }
 
-/** What an observer saw. */
+/** Totals over all endpoints, including engines that were restarted. */
 export interface Observation {
   promptTokens: number
   cachedTokens: number
   importedTokens: number
-  /** Largest load over mean load, at each look at which there was load. */
+  /** Largest load divided by mean load, one value for each poll with a mean load of at least `MIN_MEAN_LOAD`. */
   skews: number[]
-  /** How often each request began at an engine. */
+  /** How often each request started at an engine, by request id. */
   engineRuns: Map<string, number>
-  /** How often each idempotency key ran. */
+  /** How often each idempotency key ran at a plain service. */
   keyRuns: Map<string, number>
-  /** How often each request ran at a plain service. */
+  /** How often each request ran at a plain service, by request id. */
   plainRuns: Map<string, number>
+  /** Delays between an engine's leaving announcement and each request that started after it, ms. */
   lateStarts: number[]
 }
 
 const POLL_INTERVAL_MS = 250
-/** Below this mean a skew says nothing: one request more or less doubles it. */
+/** Polls with a lower mean load are left out of the skew, which a single request would dominate. */
 const MIN_MEAN_LOAD = 1
 
-/**
- * Starts to watch.
- * @param fleet the fleet
- * @returns the observer
- */
+/** Starts polling the endpoints of a fleet. */
 export function startObserver (fleet: fleets.Fleet): Observer {
   const engines = new Map<string, EngineStats>()
   const statsBeforeRestart: EngineStats[] = []
@@ -49,7 +46,7 @@
       const stats = await fleets.getJson(`${node.url}/stats`).catch(() => undefined) as EngineStats | undefined
       if (stats === undefined) return
       const before = engines.get(node.id)
-      // An engine that was restarted counts anew: what it had counted stays.
+      // Counters restart at zero with the process, so the last values before a restart are kept.
       if (before !== undefined && before.prompt > stats.prompt) statsBeforeRestart.push(before)
       engines.set(node.id, stats)
       loads.push(stats.load)
@@ -101,8 +98,7 @@
 
 /**
  * Reads the bytes that router instances sent and received on links between instances, by class.
- * @param fleet the fleet
- * @returns bytes by class, summed over the instances that answer, and how many these are
+ * @returns bytes by class, summed over the instances that answered, and the number of these instances
  */
 export async function readLinkBytes (fleet: fleets.Fleet): Promise<{ control: number, data: number, ledger: number, instances: number }> {
   const total = { control: 0, data: 0, ledger: 0, instances: 0 }
@@ -118,10 +114,8 @@
 }
 
 /**
- * A quantile of a list.
- * @param list numbers
+ * Returns a quantile of a list, or 0 for an empty list.
  * @param share from 0 to 1
- * @returns the value, or 0 for an empty list
  */
 export function toQuantile (list: readonly number[], share: number): number {
   if (list.length === 0) return 0
--- a/packages/trials/src/operators.ts
+++ b/packages/trials/src/operators.ts
@@ -1,32 +1,30 @@
-/** Operators of a trial, who race each other, lose answers and send again. */
+/** Operators of a test run, who change the configuration document concurrently and repeat requests that got no answer. */
 import * as uuid from 'uuid'
 import * as undici from 'undici'
 import type * as contracts from '@kingcupdeck/contracts'
 import type * as fleets from './fleet.js'
 import * as randoms from './random.js'
 
-/** Versions that operators were told are accepted, with when. */
+/** A change of the document that a control instance answered as accepted. */
 export interface AcceptedChange { version: number, operation: string, title: string, acceptedAt: number }
 
-/** Operators of a trial. */
+/** Two operators who change the same configuration document. */
 export interface Operators {
   readonly accepted: AcceptedChange[]
-  /** Conflicts that operators were told of. */
+  /** Returns the number of changes that were refused with a conflict. */
   conflictCount (): number
-  /** Two operators change the same version at once; one of them sends again although it was answered. */
+  /** Submits two changes of the same version concurrently, and repeats each accepted one. Throws if a repeat gets another result. */
   race (): Promise<void>
-  /** @returns the version and document in force, by a confirmed read */
+  /** Reads the current version and document; undefined if no control instance answered. */
   read (): Promise<{ version: number, document: contracts.Document } | undefined>
 }
 
+const CALL_TIMEOUT_MS = 7000
+const MAX_READ_TRIES = 6
+const MAX_PUT_TRIES = 5
+
 type PutResult = { kind: 'accepted', version: number } | { kind: 'conflict' } | { kind: 'lost' }
 
-/**
- * Creates operators.
- * @param fleet the fleet
- * @param random the source of choices
- * @returns the operators
- */
 export function createOperators (fleet: fleets.Fleet, random: () => number): Operators {
   const accepted: AcceptedChange[] = []
   let conflicts = 0
@@ -34,7 +32,7 @@
 
   const call = async (method: 'GET' | 'PUT', path: string, token: string, body?: unknown): Promise<{ status: number, body: Record<string, unknown> } | undefined> => {
     try {
-      const res = await undici.request(pickControlUrl() + path, { method, headers: { authorization: `Bearer ${token}`, 'content-type': 'application/json' }, body: body === undefined ? null : JSON.stringify(body), signal: AbortSignal.timeout(7000) })
+      const res = await undici.request(pickControlUrl() + path, { method, headers: { authorization: `Bearer ${token}`, 'content-type': 'application/json' }, body: body === undefined ? null : JSON.stringify(body), signal: AbortSignal.timeout(CALL_TIMEOUT_MS) })
       return { status: res.statusCode, body: await res.body.json() as Record<string, unknown> }
     } catch {
       return undefined
@@ -42,7 +40,7 @@
   }
 
   const read: Operators['read'] = async () => {
-    for (let tries = 0; tries < 6; tries++) {
+    for (let tries = 0; tries < MAX_READ_TRIES; tries++) {
       const reply = await call('GET', '/v1/config', 'demo-operator')
       if (reply?.status === 200) return reply.body as unknown as { version: number, document: contracts.Document }
     }
@@ -61,14 +59,14 @@
     const zone = Object.keys(document.zones)[0]
     const title = `changed by ${token} ${operation}`
     const next = { ...document, zones: { ...document.zones, [zone]: { title } } }
-    let end: PutResult = { kind: 'lost' }
-    for (let tries = 0; tries < 5 && end.kind === 'lost'; tries++) end = await put(base, next, token, operation)
-    if (end.kind === 'conflict') conflicts++
-    if (end.kind !== 'accepted') return
-    accepted.push({ version: end.version, operation, title, acceptedAt: performance.now() })
-    const again = await put(base, next, token, operation)
-    if (again.kind === 'accepted' && again.version !== end.version) throw new Error(`a resend was applied again: ${end.version}, then ${again.version}`)
-    if (again.kind === 'conflict') throw new Error(`a resend of version ${end.version} was answered with a conflict`)
+    let result: PutResult = { kind: 'lost' }
+    for (let tries = 0; tries < MAX_PUT_TRIES && result.kind === 'lost'; tries++) result = await put(base, next, token, operation)
+    if (result.kind === 'conflict') conflicts++
+    if (result.kind !== 'accepted') return
+    accepted.push({ version: result.version, operation, title, acceptedAt: performance.now() })
+    const repeated = await put(base, next, token, operation)
+    if (repeated.kind === 'accepted' && repeated.version !== result.version) throw new Error(`a repeated operation was applied twice: as version ${result.version} and as version ${repeated.version}`)
+    if (repeated.kind === 'conflict') throw new Error(`a repeated operation, accepted as version ${result.version}, got a conflict`)
   }
 
   return {
--- a/packages/trials/src/processes.ts
+++ b/packages/trials/src/processes.ts
@@ -1,25 +1,26 @@
-/** Processes of a trial: started, frozen, killed, and always ended with the trial. */
+/** Child processes of a test run; all are killed when the run exits. */
 import * as childProcess from 'node:child_process'
 import * as fs from 'node:fs'
 import * as net from 'node:net'
 import * as path from 'node:path'
 import * as url from 'node:url'
 
-/** Root of the repository. */
+/** Root folder of the repository. */
 export const ROOT = path.resolve(path.dirname(url.fileURLToPath(import.meta.url)), '../../../..')
 const CLI_FILE = path.join(ROOT, 'packages/kingcupdeck/bin/kingcupdeck.js')
 const STAND_IN_FILE = path.join(ROOT, 'packages/trials/dist/src/standIn/main.js')
 
-/** One process of a trial. */
+/** One child process. */
 export interface TrialProcess {
   readonly name: string
   isRunning (): boolean
-  /** Ends it at once, as a lost machine does. */
+  /** Sends SIGKILL and waits for the exit. */
   kill (): Promise<void>
-  /** Freezes it. */
+  /** Suspends the process with SIGSTOP. */
   freeze (): void
+  /** Resumes a frozen process. */
   thaw (): void
-  /** Asks it to end in order. @returns its exit code */
+  /** Sends SIGTERM and returns the exit code. */
   stop (): Promise<number | null>
 }
 
@@ -27,12 +28,9 @@
 process.on('exit', () => { for (const child of running) child.kill('SIGKILL') })
 
 /**
- * Starts a process.
- * @param name for its log
- * @param script the script
- * @param args its arguments
- * @param logFolder where its output goes
- * @returns the process
+ * Starts a Node.js script.
+ * @param name names the log file
+ * @param logFolder folder of the file that receives standard output and standard error
  */
 export function startProcess (name: string, script: string, args: string[], logFolder: string): TrialProcess {
   fs.mkdirSync(logFolder, { recursive: true })
@@ -62,26 +60,22 @@
   }
 }
 
-/** Starts the program with flags. */
+/** Starts a router or control instance with the given flags. */
 export function startInstance (name: string, command: string, flags: Record<string, string>, logFolder: string): TrialProcess {
   const args = Object.entries(flags).flatMap(([key, value]) => [`--${key}`, value])
   return startProcess(name, CLI_FILE, [command, ...args], logFolder)
 }
 
-/** Starts a stand-in. */
+/** Starts a stand-in process. */
 export function startStandIn (name: string, opts: unknown, logFolder: string): TrialProcess {
   return startProcess(name, STAND_IN_FILE, [JSON.stringify(opts)], logFolder)
 }
 
-/** Ports below those that the system gives to outgoing connections, which could take one between its choice and its use. */
+/** Start of a range below the ephemeral ports, so that no outgoing connection takes a port before it is used. */
 const FIRST_PORT = 20_000
 const PORT_COUNT = 12_000
 
-/**
- * Finds free ports.
- * @param count how many
- * @returns ports that nothing listens on now, and that no outgoing connection takes
- */
+/** Finds distinct ports that nothing listens on now. */
 export async function findPorts (count: number): Promise<number[]> {
   const ports = new Set<number>()
   while (ports.size < count) {
--- a/packages/trials/src/relay.ts
+++ b/packages/trials/src/relay.ts
@@ -1,40 +1,39 @@
-/** A relay between two processes, to cut or silence the link between them. */
+/** A TCP relay between two processes that can close connections or drop their traffic. */
 import * as net from 'node:net'
 
-/** How a relay treats traffic: `silent` swallows it without a word, as a device that forgot the connection does. */
+/** How a relay treats traffic: `cut` closes and refuses connections; `silent` keeps them open and drops all data. */
 export type RelayMode = 'open' | 'silent' | 'cut'
 
-/** A relay in front of one address. */
+/** A relay in front of one target address. */
 export interface Relay {
   readonly address: string
   setMode (mode: RelayMode): void
-  /** Makes the connections that are open now silent for good; new ones work. */
+  /** Drops all further data on the connections that are open now; later connections work. */
   blackholeOpenConnections (): void
   close (): void
 }
 
 /**
- * Starts a relay.
- * @param host IP number of the target
- * @param port its port
- * @returns the relay
+ * Starts a relay on a free loopback port.
+ * @param host IP address of the target
+ * @param port port of the target
  */
 export async function startRelay (host: string, port: number): Promise<Relay> {
   let mode: RelayMode = 'open'
-  const pairs = new Set<{ left: net.Socket, right: net.Socket, isForgotten: boolean }>()
+  const pairs = new Set<{ left: net.Socket, right: net.Socket, isBlackholed: boolean }>()
   const server = net.createServer(left => {
     if (mode === 'cut') {
       left.destroy()
       return
     }
     const right = net.connect({ host, port })
-    const pair = { left, right, isForgotten: false }
+    const pair = { left, right, isBlackholed: false }
     pairs.add(pair)
     const pass = (from: net.Socket, to: net.Socket): void => {
-      from.on('data', data => { if (mode === 'open' && !pair.isForgotten) to.write(data) })
+      from.on('data', data => { if (mode === 'open' && !pair.isBlackholed) to.write(data) })
       from.on('error', () => {})
       from.on('close', () => {
-        if (pair.isForgotten || mode === 'silent') return
+        if (pair.isBlackholed || mode === 'silent') return
         to.destroy()
         pairs.delete(pair)
       })
@@ -56,7 +55,7 @@
       mode = next
       if (next === 'cut') closeAll()
     },
-    blackholeOpenConnections () { for (const pair of pairs) pair.isForgotten = true },
+    blackholeOpenConnections () { for (const pair of pairs) pair.isBlackholed = true },
     close () {
       closeAll()
       server.close()
--- a/packages/trials/src/slopes.ts
+++ b/packages/trials/src/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes: what one more of each thing costs in bytes, processor time and memory, measured at three sizes or more, so that
- * docs/CAPACITY.md can work out the size to design for. Prints one line a slope, and all as JSON at the end.
+ * Measures the marginal cost of endpoints, chats, client accounts, calls and so on in bytes, CPU time and memory, for the
+ * capacity plan in docs/CAPACITY.md. Prints one line per slope, and all of them as JSON at the end.
  */
 import * as crypto from 'node:crypto'
 import * as fs from 'node:fs'
@@ -21,7 +21,7 @@
 
 const slopes: Slope[] = []
 
-/** Least squares through the points. */
+/** Fits a line through the points by least squares, stores and prints it. */
 function reportSlope (name: string, unit: string, points: Point[]): void {
   const n = points.length
   const meanX = points.reduce((sum, point) => sum + point.size, 0) / n
@@ -44,7 +44,7 @@
 const toFrameBytes = (body: unknown): number => links.encodeFrame([links.FrameKind.event, 1, body]).length
 const createEndpointRecord = (i: number): contracts.EndpointRecord => ({ id: `engine-${i}`, service: 'assistant', zone: `zone-${i % 20}`, address: `10.${i % 200}.${i % 100}.7:8000`, boot: 1764720000000, seq: 3000 + i, state: 'ready', slots: 16, weight: 1, models: ['frame-assistant', 'archive-tagger'], checksFencing: true })
 
-/* Tables in memory. */
+/* Tables in memory and messages on the wire. */
 
 const TABLE_SIZES = [1000, 4000, 12000]
 reportSlope('endpoint held in a table, memory', 'bytes an endpoint', TABLE_SIZES.map(size => {
@@ -78,7 +78,7 @@
   return { size, value: after - before + views.number() * 0 }
 }))
 
-/* The document. */
+/* Configuration document. */
 
 function createDocument (accounts: number): contracts.Document {
   const doc = localFleet.readDeployment('suwanrat')
@@ -105,7 +105,7 @@
 reportSlope('configuration change, whole document, wire', 'bytes a client account', ACCOUNT_COUNTS.map(size => ({ size, value: toFrameBytes(createDocument(size)) })))
 reportSlope('configuration change, difference, wire', 'bytes a changed entry', [1, 5, 20].map(size => ({ size, value: toFrameBytes({ t: 'document', document: { version: 9000, baseVersion: 8999, changes: Array.from({ length: size }, (_, i) => ({ op: 'set', part: 'clientAccounts', id: `account-${i}`, value: createDocument(1).clientAccounts.clerks })) } }) })))
 
-/* The ledger, in memory and on disk. */
+/* Ledger in memory. */
 
 const answer = { status: 200, contentType: 'application/json', body: Buffer.from(JSON.stringify({ receipt: 'x'.repeat(180) })) }
 reportSlope('call in the ledger, memory', 'bytes a call', [2000, 8000, 20_000].map(size => {
@@ -120,7 +120,7 @@
   return { size, value: after - before + ledger.size() * 0 }
 }))
 
-/* Processes: a control instance under renewals and ledger calls, a router instance under announcements. */
+/* Processes: a control instance under lease renewals and ledger calls, and a router instance under announcements and streams. */
 
 async function readMetric (url: string, pattern: RegExp): Promise<number> {
   const text = await undici.request(`${url}/metrics`).then(async res => await res.body.text())
@@ -142,7 +142,6 @@
 const silentLog = telemetry.createLog({ instance: 'slopes', level: 'silent' })
 const invariants = telemetry.createInvariants({ log: silentLog })
 
-/** Idle figures are taken off, so that the slope is that of the renewals alone. */
 const leaseCpu: Point[] = []
 const leaseBytes: Point[] = []
 const members: membership.Membership[] = []
--- a/packages/trials/src/soak.ts
+++ b/packages/trials/src/soak.ts
@@ -1,6 +1,6 @@
 /**
- * The soak run: a fleet of separate processes under load while parts of it are killed, frozen, cut off, wiped and raced,
- * two at a time. The last line is one JSON object; the exit code is 1 if a check failed or was never made.
+ * Soak run: a fleet under load with injected faults, two at a time. Prints one JSON object as its last line, and exits with 1
+ * if a check failed or was never made.
  */
 import * as util from 'node:util'
 import * as callers from './callers.js'
@@ -48,11 +48,11 @@
   for (const item of operatorPair.accepted) {
     if (performance.now() - item.acceptedAt < PROPAGATION_LIMIT_MS) continue
     for (const [id, state] of monitor.versions()) {
-      if (state.serving) checks.check('acceptedIsInForce', state.version >= item.version, () => `${id} serves with ${state.version}, ${item.version} was accepted ${Math.round(performance.now() - item.acceptedAt)} ms ago`)
+      if (state.serving) checks.check('acceptedIsInForce', state.version >= item.version, () => `${id} serves version ${state.version}, version ${item.version} was accepted ${Math.round(performance.now() - item.acceptedAt)} ms ago`)
     }
   }
   for (const node of [...fleet.routers, ...fleet.controls]) {
-    if (!ctx.busy.has(node.id)) checks.check('noProcessEndsByItself', node.process.isRunning(), () => `${node.id} ended; see its log`)
+    if (!ctx.busy.has(node.id)) checks.check('noProcessEndsByItself', node.process.isRunning(), () => `${node.id} exited; see its log (--keep keeps it)`)
   }
   isPolling = false
 }
@@ -70,7 +70,7 @@
   }))
 }
 
-/** A caller whose request crashes each engine that runs it, and who sends it again. */
+/** Sends a request that crashes every engine it runs on, and repeats it. */
 const poison = async (): Promise<void> => {
   const stats = callers.createCallerStats()
   const caller: callers.CallerOptions = { account: 'clerks', stats, addresses: callers.createAddressCache(fleet.routers.map(node => node.url), 'demo-clerks', random) }
@@ -90,7 +90,7 @@
 
 const ctx: faults.FaultContext = { fleet, busy: new Set(), isFullyReplicated, raceOperators: operatorPair.race, surge, poison }
 
-/** One lane of faults; two lanes run beside each other. */
+/** Injects the faults of a plan one after the other until the deadline. */
 async function runLane (plan: faults.Fault[], deadline: number): Promise<void> {
   for (const fault of plan) {
     await pause(fault.pauseMs)
@@ -120,17 +120,17 @@
 const finalConfig = await operatorPair.read()
 const { stats } = workload
 for (const item of operatorPair.accepted) {
-  checks.check('acceptedIsNotLost', finalConfig !== undefined && finalConfig.version >= item.version, () => `version ${item.version} was accepted, in force is ${finalConfig?.version ?? 'unknown'}`)
+  checks.check('acceptedIsNotLost', finalConfig !== undefined && finalConfig.version >= item.version, () => `version ${item.version} was accepted, the current version is ${finalConfig?.version ?? 'unknown'}`)
   checks.check('resendGetsTheFirstAnswer', true, () => '')
 }
 const versions = operatorPair.accepted.map(item => item.version)
 checks.check('oneWinnerForEachVersion', new Set(versions).size === versions.length, () => versions.join(', '))
 for (const [key, count] of observation.keyRuns) checks.check('keyRunsAtMostOnce', count <= 1, () => `${key} ran ${count} times`)
-for (const key of stats.answersByKey.keys()) checks.check('answeredKeyRanOnce', observation.keyRuns.get(key) === 1, () => `${key} was answered and ran ${observation.keyRuns.get(key) ?? 0} times`)
-for (const id of stats.notRunRequestIds) checks.check('notRunDidNotRun', !observation.engineRuns.has(id) && !observation.plainRuns.has(id), () => `${id} was refused as not run and ran`)
+for (const key of stats.answersByKey.keys()) checks.check('answeredKeyRanOnce', observation.keyRuns.get(key) === 1, () => `${key} was answered, but ran ${observation.keyRuns.get(key) ?? 0} times`)
+for (const id of stats.notRunRequestIds) checks.check('notRunDidNotRun', !observation.engineRuns.has(id) && !observation.plainRuns.has(id), () => `${id} was refused as not run, but ran`)
 for (const detail of stats.wrongDetails.slice(0, 5)) print(`WRONG  ${detail}`)
 checks.add('ownWholeAnswer', { checked: stats.answered + stats.wrongAnswers, broken: stats.wrongAnswers })
-for (const ms of observation.lateStarts) checks.check('leavingGetsNoNewWork', ms <= LATE_START_LIMIT_MS, () => `work began ${ms} ms after leaving`)
+for (const ms of observation.lateStarts) checks.check('leavingGetsNoNewWork', ms <= LATE_START_LIMIT_MS, () => `a request started ${ms} ms after the engine announced that it is leaving`)
 checks.check('leavingGetsNoNewWork', true, () => '')
 for (const node of fleet.routers) {
   const text = await fetch(`${node.url}/metrics`).then(async res => await res.text()).catch(() => '')
--- a/packages/trials/src/standIn/announcer.ts
+++ b/packages/trials/src/standIn/announcer.ts
@@ -1,31 +1,27 @@
-/** How a stand-in announces itself: to its owner as it was told, or to any instance it knows; with a lagged load. */
+/** Announcements of an endpoint stand-in: to its owner if known, else to any configured router instance, with a delayed load. */
 import * as undici from 'undici'
 import * as contracts from '@kingcupdeck/contracts'
 
-/** What is announced. */
 export interface AnnouncerOptions {
-  /** Base URLs of instances that it knows from its settings. */
+  /** Base URLs of the configured router instances. */
   routers: readonly string[]
   token: string
-  /** @returns the announcement as of now; the load in it is sent with a lag */
+  /** Returns the current announcement; its load is replaced by that of an earlier announcement. */
   toAnnouncement (seq: number): contracts.Announcement
 }
 
-/** The announcing of one endpoint. */
+/** Periodic announcements of one endpoint. */
 export interface Announcer {
-  /** Announces at once, as when leaving. */
+  /** Announces now, in addition to the periodic announcements. */
   announceNow (): Promise<void>
   stop (): void
 }
 
+/** Number of announcements by which the announced load is delayed. */
 const LOAD_LAG_ANNOUNCEMENTS = 1
 const REQUEST_TIMEOUT_MS = 800
 
-/**
- * Starts to announce.
- * @param opts what and to whom
- * @returns the announcing
- */
+/** Starts to announce an endpoint at the interval that its owner asks for. */
 export function startAnnouncer (opts: AnnouncerOptions): Announcer {
   const loads: number[] = []
   let seq = 0
--- a/packages/trials/src/standIn/attemptStream.ts
+++ b/packages/trials/src/standIn/attemptStream.ts
@@ -1,42 +1,39 @@
-/** The stream of one attempt at the engine stand-in: numbered events that are kept for a resume, and faults on demand. */
+/** Event stream of one attempt at the engine stand-in, with numbered events that are kept for a resume, and injected faults. */
 import * as http from 'node:http'
 import * as contracts from '@kingcupdeck/contracts'
 
-/** A fault that a stream meets. */
+/** A fault to inject into a stream. */
 export type StreamFault = 'stall' | 'gap' | 'cut' | 'cross' | 'duplicate' | 'error'
 
-/** Token counts for the last event. */
+/** Token counts of an attempt. */
 export interface Usage { promptTokens: number, cachedTokens: number, words: number }
 
 /** The stream of one attempt. */
 export interface AttemptStream {
-  /** Sends a word, as the next event. */
+  /** Sends a word as the next event. */
   emitWord (index: number, word: string): void
-  /** Sends the finish, the counts and the end mark. */
+  /** Sends the finish reason, the token counts and the end marker. */
   finish (usage: Usage): void
-  /** Connects a caller, from event `from` on; an earlier connection of the same attempt ends. */
+  /** Attaches a response and sends it the events from number `from` on; closes an earlier response of this attempt. */
   attach (res: http.ServerResponse, from: number): void
+  /** Sends an SSE comment, unless the stream is done or stalled. */
   keepAlive (): void
-  /** @returns whether nobody has followed it for a while */
+  /** Returns whether an unfinished stream has had no response attached for longer than `DETACH_TIMEOUT_MS`. */
   isAbandoned (): boolean
 }
 
-/** What a stream is built from. */
+/** Options of a stream; `resumeOffset` is the number of words that another engine sent already. */
 export interface AttemptStreamOptions { attempt: string, requestId: string, model: string, createdAt: number, resumeOffset: number, fault: StreamFault | undefined }
 
 const DETACH_TIMEOUT_MS = 3000
 const END_MARK = 'data: [DONE]\n\n'
-/** Events that get through before each fault shows. */
-const FAULT_AFTER_EVENTS = { stall: 3, gap: 3, cut: 4, cross: 2 }
+/** Number of the first event that each fault affects. */
+const FIRST_AFFECTED_EVENT = { stall: 3, gap: 3, cut: 4, cross: 2 }
 
-/**
- * Creates a stream without a caller.
- * @param opts whose it is, and where it begins
- * @returns the stream
- */
+/** Creates a stream without an attached response. */
 export function createAttemptStream (opts: AttemptStreamOptions): AttemptStream {
   const base = { id: `chatcmpl-${opts.requestId}`, object: 'chat.completion.chunk', created: Math.floor(opts.createdAt / 1000), model: opts.model }
-  // Events that another engine sent already are there in number only.
+  // Placeholders for the events that another engine sent already, to keep the numbering.
   const events = Array.from({ length: opts.resumeOffset }, () => JSON.stringify({ ...base, choices: [{ index: 0, delta: {}, finish_reason: null }] }))
   let { fault } = opts
   let client: http.ServerResponse | undefined
@@ -54,15 +51,15 @@
     switch (fault) {
       case 'stall':
       case 'gap':
-        if (n < FAULT_AFTER_EVENTS[fault]) write(n)
+        if (n < FIRST_AFFECTED_EVENT[fault]) write(n)
         return
       case 'cut':
-        if (n === FAULT_AFTER_EVENTS.cut) cut()
+        if (n === FIRST_AFFECTED_EVENT.cut) cut()
         else write(n)
         return
       case 'cross':
-        // A word of somebody else's answer, under that one's attempt id.
-        if (n === FAULT_AFTER_EVENTS.cross) write(n, events[n].replace(/"content":"[^"]*"/, '"content":" foreign"'), 'another-attempt')
+        // A word of another answer, with another attempt's id.
+        if (n === FIRST_AFFECTED_EVENT.cross) write(n, events[n].replace(/"content":"[^"]*"/, '"content":" foreign"'), 'another-attempt')
         else write(n)
         return
       case 'duplicate':
@@ -112,7 +109,7 @@
       if (isDone) res.end(END_MARK)
     },
     keepAlive () {
-      const isStalled = fault === 'stall' && events.length >= FAULT_AFTER_EVENTS.stall
+      const isStalled = fault === 'stall' && events.length >= FIRST_AFFECTED_EVENT.stall
       if (!isStalled && !isDone) client?.write(': wait\n\n')
     },
     isAbandoned: () => !isDone && detachedAt !== undefined && performance.now() - detachedAt > DETACH_TIMEOUT_MS
--- a/packages/trials/src/standIn/engineModel.ts
+++ b/packages/trials/src/standIn/engineModel.ts
@@ -1,28 +1,27 @@
 /**
- * What the engine stand-in computes: continuous batching, prefill paid for each token that is not in the prefix cache,
- * decode shared by the batch, priorities, cancelling. Time passes in steps. docs/DESIGN.md gives the constants.
+ * Timing model of the engine stand-in: continuous batching, prefill of the tokens that are not in the prefix cache, decoding
+ * that slows with the batch size, priorities and cancellation. Time advances in steps.
  */
 import * as answers from './answers.js'
 import * as prefixCache from './prefixCache.js'
 
-/** How fast an engine is. */
+/** Speed and capacity of an engine. */
 export interface EngineSpeed {
-  /** Requests in a batch. */
+  /** Maximum number of requests in a batch. */
   slots: number
-  /** Blocks of the prefix cache. */
+  /** Capacity of the prefix cache, in blocks. */
   cacheBlocks: number
-  /** Uncached prompt tokens a second, shared by all that prefill. */
+  /** Prefill rate in uncached prompt tokens per second, shared by the batch. */
   prefillTokensPerSecond: number
-  /** Time between tokens of one request when it runs alone, ms. */
+  /** Time per output token of a request that runs alone, ms. */
   decodeMs: number
-  /** Added to the time between tokens for each further request in the batch, ms. */
+  /** Time added per output token for each further request that decodes, ms. */
   decodeMsPerNeighbour: number
 }
 
-/** The usual engine of the trials. */
 export const DEFAULT_SPEED: EngineSpeed = { slots: 16, cacheBlocks: 3000, prefillTokensPerSecond: 8000, decodeMs: 8, decodeMsPerNeighbour: 0.8 }
 
-/** One request in the engine. */
+/** A request that was submitted to the engine. */
 export interface Job {
   attempt: string
   requestId: string
@@ -31,20 +30,19 @@
   promptTokens: number
   cachedTokens: number
   words: string[]
-  /** Words that were produced. */
+  /** Number of words that were produced, here or by an earlier engine. */
   producedWords: number
-  /** Prompt tokens still to compute. */
   remainingPrefillTokens: number
-  /** Time in the batch not yet turned into a token, ms. */
+  /** Decoding time that was not yet spent on a token, ms. */
   creditMs: number
   state: 'waiting' | 'running' | 'done' | 'cancelled'
   promptBlocks: number[]
+  /** Cache blocks of the prompt and the answer. */
   finalBlocks: number[]
-  /** Told of each word, and of the end with undefined. */
+  /** Called with each word, and with undefined at the end. */
   onWord (index: number, word: string | undefined): void
 }
 
-/** What a request asks of the model. */
 export interface JobInput {
   attempt: string
   requestId: string
@@ -52,34 +50,28 @@
   rank: number
   messages: answers.Message[]
   words: number
-  /** Words that another engine produced already. */
+  /** Number of words that an earlier engine produced. */
   resumeOffset: number
   onWord (index: number, word: string | undefined): void
 }
 
-/** The model. */
 export interface EngineModel {
   readonly cache: prefixCache.PrefixCache
   submit (input: JobInput): Job
   cancel (job: Job): void
-  /** Lets time pass. */
+  /** Advances the time of the model. */
   advance (ms: number): void
-  /** @returns requests that wait or run */
+  /** Returns the number of waiting and running requests. */
   load (): number
-  /** @returns the cache blocks of a chat's latest request */
+  /** Returns the cache blocks of a chat's latest finished or imported request; empty if unknown. */
   findChatBlocks (chat: string): readonly number[]
-  /** Takes blocks of a chat from another engine. @returns tokens that were new here */
+  /** Stores cache blocks of a chat from another engine and returns the number of tokens that were not cached. */
   importBlocks (chat: string, blocks: readonly number[]): number
   totals: { prompt: number, cached: number, imported: number, maxLoad: number, finished: number }
 }
 
 const MAX_CHATS = 20_000
 
-/**
- * Creates a model.
- * @param speed how fast it is
- * @returns the model, idle
- */
 export function createEngineModel (speed: EngineSpeed): EngineModel {
   const cache = prefixCache.createPrefixCache(speed.cacheBlocks)
   const blocksByChat = new Map<string, number[]>()
--- a/packages/trials/src/standIn/engineServer.ts
+++ b/packages/trials/src/standIn/engineServer.ts
@@ -1,6 +1,6 @@
 /**
- * The engine stand-in as a server: an OpenAI-style stream with numbered events, resume by the last event id, cancelling,
- * KV export and import, orders under a rate-limited weight store, announcements, and faults on demand.
+ * HTTP server of the engine stand-in: OpenAI-style streams with numbered events and resume, cancellation, KV cache transfer,
+ * orders to load models, announcements, and injected faults.
  */
 import * as http from 'node:http'
 import * as net from 'node:net'
@@ -13,7 +13,6 @@
 import * as engineModel from './engineModel.js'
 import * as prefixCache from './prefixCache.js'
 
-/** What an engine stand-in is built from. */
 export interface EngineOptions {
   endpoint: string
   service: string
@@ -23,14 +22,14 @@
   port: number
   speed: engineModel.EngineSpeed
   checksFencing: boolean
-  /** Bytes of KV cache for a token, and how fast engines pass them on; the cost of an import. */
+  /** Size of the KV cache per token and its transfer rate, which determine the time of an import. */
   kvBytesPerToken: number
   kvBytesPerSecond: number
-  /** Time the weight store takes for one model. */
+  /** Time to load one model. */
   modelLoadMs: number
-  /** What it carries before any order. */
+  /** Models that are loaded at the start. */
   carries: contracts.ServedModel[]
-  /** Ends the process, or what stands for it in a test; called by a request that crashes the engine. */
+  /** Called when a request crashes the engine; ends the process, or the server in a test. */
   crash (): void
 }
 
@@ -38,36 +37,33 @@
 export interface Engine {
   readonly port: number
   readonly model: engineModel.EngineModel
-  /** How often each request began here, by request id. */
+  /** How often each request started here, by request id. */
   readonly runs: Map<string, number>
-  /** Fencing numbers of the orders that came, and whether each was obeyed. */
+  /** Fencing numbers of the received orders, and whether each was obeyed. */
   readonly orders: Array<{ fence: number, isObeyed: boolean }>
-  /** Requests that began after the engine said that it is leaving, with how long after, ms. */
+  /** Delays between the leaving announcement and each request that started after it, ms. */
   readonly lateStarts: number[]
+  /** Sets the fault of the next stream. */
   setFault (fault: attemptStream.StreamFault | undefined): void
-  /** From now on orders are refused, so that it keeps what it carries. */
+  /** Refuses all further orders, so that the loaded models stay as they are. */
   refuseOrders (): void
+  /** Announces that the engine is leaving. */
   leave (): Promise<void>
-  /** Ends at once, as a killed process does. */
+  /** Closes the server and all connections, as a killed process does. */
   kill (): void
 }
 
-/** A prompt with this word crashes the engine that runs it. */
+/** A prompt that contains this word crashes the engine. */
 export const POISON_WORD = 'poison-pill'
 const STEP_INTERVAL_MS = 4
 const FINISHED_ATTEMPT_RETENTION_MS = 5000
 const POISON_AFTER_WORDS = 2
 
-/** A chat completion, with the words that another engine produced already. */
+/** A chat completion; `offset` is the number of words that another engine produced already. */
 type EngineRequest = contracts.ChatRequest & { kingcupdeck_resume?: { offset: number } }
 
 interface RunningAttempt { job: engineModel.Job, stream: attemptStream.AttemptStream }
 
-/**
- * Starts an engine.
- * @param opts how it is
- * @returns the engine
- */
 export async function startEngine (opts: EngineOptions): Promise<Engine> {
   const model = engineModel.createEngineModel(opts.speed)
   const boot = Date.now()
@@ -133,7 +129,7 @@
     }
     const carried = carries.find(item => item.model === body.model)
     if (carried === undefined) {
-      sendJson(res, 503, { error: { message: `${body.model} is not loaded here` } })
+      sendJson(res, 503, { error: { message: `model ${body.model} is not loaded on this engine` } })
       return
     }
     const fault = nextFault
@@ -171,7 +167,7 @@
 
   const recordCacheEvent = (chat: string): void => {
     cacheSeq++
-    // Cache events arrive with gaps: every eighth is lost.
+    // Drops every eighth event, since cache events of real engines have gaps.
     if (cacheSeq % 8 !== 0) cacheEvents = [...cacheEvents, { seq: cacheSeq, op: 'stored' as const, chat }].slice(-50)
   }
 
@@ -192,11 +188,11 @@
     const isObeyed = !(isStale && opts.checksFencing) && !isRefusingOrders
     orders.push({ fence: order.fence, isObeyed })
     if (!isObeyed) {
-      sendJson(res, 409, { error: { message: `order ${order.fence} is older than ${fence}` } })
+      sendJson(res, 409, { error: { message: `order refused (fencing number ${order.fence}, newest ${fence})` } })
       return
     }
     fence = Math.max(fence, order.fence)
-    // The weight store is rate-limited: one model after the other.
+    // Loads one model at a time, as a rate-limited weight store does.
     loading = loading.then(async () => {
       const missing = order.carries.filter(item => !carries.some(other => other.model === item.model && other.adapter === item.adapter && other.version === item.version))
       for (const item of missing) {
@@ -260,22 +256,12 @@
   }
 }
 
-/**
- * Answers with JSON.
- * @param res the answer
- * @param status HTTP status
- * @param body what to send
- */
 export function sendJson (res: http.ServerResponse, status: number, body: unknown): void {
   res.writeHead(status, { 'content-type': 'application/json' })
   res.end(JSON.stringify(body))
 }
 
-/**
- * Reads a body as JSON.
- * @param req the request
- * @returns the value; an empty object for an empty body
- */
+/** Reads a request body as JSON; an empty body gives an empty object. */
 export async function readJson (req: http.IncomingMessage): Promise<unknown> {
   const parts: Buffer[] = []
   for await (const part of req) parts.push(part as Buffer)
--- a/packages/trials/src/standIn/main.ts
+++ b/packages/trials/src/standIn/main.ts
@@ -1,8 +1,7 @@
-/** Entry of a stand-in process: its options come as one JSON argument. */
+/** Entry point of a stand-in process; the options are passed as JSON in the first argument. */
 import * as engineServer from './engineServer.js'
 import * as plainServer from './plainServer.js'
 
-/** What a stand-in process is told. */
 export type StandInOptions =
   | ({ kind: 'engine' } & Omit<engineServer.EngineOptions, 'crash'>)
   | ({ kind: 'plain' } & plainServer.PlainOptions)
--- a/packages/trials/src/standIn/plainServer.ts
+++ b/packages/trials/src/standIn/plainServer.ts
@@ -1,4 +1,4 @@
-/** The stand-in of a plain service: counts how often each key and each request ran, and answers with its own question. */
+/** HTTP server of a plain service stand-in: counts runs by idempotency key and by request, and echoes the request body. */
 import * as http from 'node:http'
 import * as net from 'node:net'
 import * as timers from 'node:timers/promises'
@@ -6,7 +6,6 @@
 import * as announcer from './announcer.js'
 import * as engineServer from './engineServer.js'
 
-/** What the stand-in is built from. */
 export interface PlainOptions {
   endpoint: string
   service: string
@@ -14,7 +13,7 @@
   token: string
   routers: readonly string[]
   port: number
-  /** How long a call takes. */
+  /** Duration of a call. */
   callMs: number
 }
 
@@ -23,20 +22,15 @@
   readonly port: number
   /** How often each idempotency key ran. */
   readonly keys: Map<string, number>
-  /** How often each request ran. */
+  /** How often each request ran, by request id. */
   readonly runs: Map<string, number>
-  /** The next call runs but its answer never comes. */
+  /** Drops the response of the next call, which still runs. */
   dropNextResponse (): void
   kill (): void
 }
 
 const SLOTS = 64
 
-/**
- * Starts a plain service.
- * @param opts how it is
- * @returns the service
- */
 export async function startPlainServer (opts: PlainOptions): Promise<PlainServer> {
   const keys = new Map<string, number>()
   const runs = new Map<string, number>()
--- a/packages/trials/src/standIn/prefixCache.ts
+++ b/packages/trials/src/standIn/prefixCache.ts
@@ -1,22 +1,20 @@
-/** The prefix cache of the engine stand-in: blocks of tokens, least recently used first out, within limited memory. */
+/** Prefix cache of the engine stand-in: an LRU cache of token blocks. */
 import * as contracts from '@kingcupdeck/contracts'
 
-/** Tokens in a block. */
+/** Number of tokens in a block. */
 export const BLOCK_TOKENS = 16
 
-/** The prefix cache. */
 export interface PrefixCache {
-  /** @returns how many leading blocks are held; touches them */
+  /** Returns how many leading blocks are cached, and marks them as used. */
   match (blocks: readonly number[]): number
-  /** Holds blocks, dropping the least recently used. @returns how many were dropped */
+  /** Caches blocks, evicting the least recently used ones, and returns the number of evicted blocks. */
   store (blocks: readonly number[]): number
   size (): number
 }
 
 /**
  * Creates an empty cache.
- * @param capacity blocks that fit
- * @returns the cache
+ * @param capacity maximum number of blocks
  */
 export function createPrefixCache (capacity: number): PrefixCache {
   const blocksByRecency = new Map<number, true>()
@@ -33,31 +31,23 @@
     },
     store (blocks) {
       for (const block of blocks) touch(block)
-      let dropped = 0
+      let evicted = 0
       while (blocksByRecency.size > capacity) {
         blocksByRecency.delete(blocksByRecency.keys().next().value as number)
-        dropped++
+        evicted++
       }
-      return dropped
+      return evicted
     },
     size: () => blocksByRecency.size
   }
 }
 
-/**
- * Cuts text into tokens, the stand-in's way: words.
- * @param text any text
- * @returns the tokens
- */
+/** Splits text at whitespace; each word is one token. */
 export function toTokens (text: string): string[] {
   return text.split(/\s+/).filter(token => token !== '')
 }
 
-/**
- * Names the blocks of a prompt; each name covers all tokens before it, as prefix caches have it.
- * @param tokens the prompt
- * @returns one name a full block
- */
+/** Returns one hash per full block of a prompt; each hash covers the block and all tokens before it. */
 export function toBlocks (tokens: readonly string[]): number[] {
   const blocks: number[] = []
   let parentHash = 0
--- a/packages/trials/src/workload.ts
+++ b/packages/trials/src/workload.ts
@@ -1,44 +1,40 @@
-/** The days of the two users, small: chats that return after pauses, repeated questions, night tagging, charges with resends. */
+/** Open-loop traffic of the two deployments: chats with several turns, and non-idempotent calls that are repeated. */
 import * as callers from './callers.js'
 import * as randoms from './random.js'
 import * as answers from './standIn/answers.js'
 
-/** One kind of traffic. */
+/** Chat traffic of one client account. */
 export interface ChatTraffic {
   account: string
   model: string
-  /** Chats that return. */
+  /** Number of open chats. */
   chatCount: number
-  /** Turns a second over all of them, started whether earlier ones have ended or not. */
+  /** Turns per second over all chats; a turn is skipped if every chat has one in flight. */
   turnsPerSecond: number
-  /** Words of a first question, of a later one, and of an answer. */
+  /** Number of words in a first question, in a later one, and in an answer. */
   words: { opening: number, turn: number, answer: number }
-  /** Further headers. */
   headers?: Record<string, string>
-  /** Whether answers are streamed. */
   isStreamed: boolean
-  /** Seconds from the start at which it begins and ends; all the time when absent. */
+  /** Start and end of the traffic, in seconds after the start of the workload; not limited when absent. */
   fromSeconds?: number
   toSeconds?: number
-  /** The chance that a caller asks the same question twice. */
+  /** Probability that a turn is sent twice. */
   repeatProbability?: number
-  /** Each turn opens a chat of its own, as a surge does. */
+  /** Starts a new chat after each turn. */
   hasSingleTurnChats?: boolean
 }
 
-/** Non-idempotent calls. */
+/** Non-idempotent calls of one client account; see `sendAtMostOnce` for the probability. */
 export interface CallTraffic { account: string, service: string, call: string, perSecond: number, duplicateProbability: number }
 
-/** A day, small. */
+/** Traffic of a deployment. */
 export interface Traffic { chats: ChatTraffic[], calls: CallTraffic[] }
 
 const words = (opening: number, turn: number, answer: number): ChatTraffic['words'] => ({ opening, turn, answer })
 
 /**
- * The day of a deployment.
- * @param deployment whose
+ * Creates the traffic of a deployment.
  * @param scale multiplies all rates
- * @returns its traffic
  */
 export function createTraffic (deployment: 'suwanrat' | 'vanua', scale = 1): Traffic {
   switch (deployment) {
@@ -74,22 +70,19 @@
 /** A running workload. */
 export interface Workload {
   readonly stats: callers.CallerStats
-  /** @returns requests sent so far */
+  /** Returns the number of chat turns and calls started so far. */
   sentCount (): number
-  /** Stops new requests and waits for those under way. */
+  /** Stops starting requests and waits for those in flight. */
   finish (): Promise<void>
 }
 
-/** Turns after which a chat begins anew, so that prompts stay bounded. */
+/** Number of messages above which a chat is replaced by a new one, so that prompts stay bounded. */
 const MAX_MESSAGES = 21
 const TICK_INTERVAL_MS = 20
 
 /**
- * Starts a day against a fleet, open loop.
- * @param fleet the fleet
- * @param traffic the traffic
- * @param seed the same seed gives the same choices
- * @returns the workload
+ * Starts open-loop traffic against a fleet.
+ * @param seed seeds the random choices
  */
 export function startWorkload (fleet: { routers: ReadonlyArray<{ url: string }> }, traffic: Traffic, seed: number): Workload {
   const stats = callers.createCallerStats()
@@ -105,7 +98,7 @@
     void work.finally(() => inFlight.delete(work))
   }
 
-  const startAtRate = (perSecond: number, random: () => number, isActive: (at: number) => boolean, start: () => void): void => {
+  const startAtRate = (perSecond: number, random: () => number, isActive: (seconds: number) => boolean, start: () => void): void => {
     let due = 0
     const timer = setInterval(() => {
       if (!isActive((performance.now() - startedAt) / 1000)) return
@@ -118,21 +111,21 @@
     stops.push(() => { clearInterval(timer) })
   }
 
-  traffic.chats.forEach((stream, i) => {
+  traffic.chats.forEach((chatTraffic, i) => {
     const random = randoms.createRandom(seed * 1000 + i)
-    const caller: callers.CallerOptions = { account: stream.account, stats, addresses: callers.createAddressCache(urls, `demo-${stream.account}`, random), headers: stream.headers }
-    const chats = Array.from({ length: stream.chatCount }, (_, at) => createChat(stream, at, random))
-    startAtRate(stream.turnsPerSecond, random, at => at >= (stream.fromSeconds ?? 0) && at < (stream.toSeconds ?? Infinity), () => {
+    const caller: callers.CallerOptions = { account: chatTraffic.account, stats, addresses: callers.createAddressCache(urls, `demo-${chatTraffic.account}`, random), headers: chatTraffic.headers }
+    const chats = Array.from({ length: chatTraffic.chatCount }, (_, index) => createChat(chatTraffic, index, random))
+    startAtRate(chatTraffic.turnsPerSecond, random, seconds => seconds >= (chatTraffic.fromSeconds ?? 0) && seconds < (chatTraffic.toSeconds ?? Infinity), () => {
       const idle = chats.filter(chat => !chat.isBusy)
-      if (idle.length > 0) track(runTurn(caller, stream, randoms.pick(random, idle), random))
+      if (idle.length > 0) track(runTurn(caller, chatTraffic, randoms.pick(random, idle), random))
     })
   })
-  traffic.calls.forEach((charge, i) => {
+  traffic.calls.forEach((callTraffic, i) => {
     const random = randoms.createRandom(seed * 1000 + 500 + i)
-    const caller: callers.CallerOptions = { account: charge.account, stats, addresses: callers.createAddressCache(urls, `demo-${charge.account}`, random) }
+    const caller: callers.CallerOptions = { account: callTraffic.account, stats, addresses: callers.createAddressCache(urls, `demo-${callTraffic.account}`, random) }
     let number = 0
-    startAtRate(charge.perSecond, random, () => true, () => {
-      track(callers.sendAtMostOnce(caller, { service: charge.service, call: charge.call, body: { number: ++number, amount: Math.floor(random() * 900) + 100 } }, charge.duplicateProbability, random))
+    startAtRate(callTraffic.perSecond, random, () => true, () => {
+      track(callers.sendAtMostOnce(caller, { service: callTraffic.service, call: callTraffic.call, body: { number: ++number, amount: Math.floor(random() * 900) + 100 } }, callTraffic.duplicateProbability, random))
     })
   })
 
@@ -148,8 +141,8 @@
 
 let nextChatNumber = 0
 
-function createChat (traffic: ChatTraffic, at: number, random: () => number): Chat {
-  return { id: `${traffic.account}-${at}-${nextChatNumber++}`, messages: createOpening(traffic, random), isBusy: false }
+function createChat (traffic: ChatTraffic, index: number, random: () => number): Chat {
+  return { id: `${traffic.account}-${index}-${nextChatNumber++}`, messages: createOpening(traffic, random), isBusy: false }
 }
 
 function createOpening (traffic: ChatTraffic, random: () => number): answers.Message[] {
