--- a/packages/trials/src/callers.ts
+++ b/packages/trials/src/callers.ts
@@ -91,6 +91,7 @@
 const CALL_TIMEOUT_MS = 40_000
 const ADDRESSES_TIMEOUT_MS = 1000
 const MAX_CACHED_QUERIES = 5000
+const MAX_TURN_RETRIES = 4
 
 /**
  * Sends one turn of a chat and checks the content of the answer. Retries at another address if the connection breaks or the
@@ -100,12 +101,12 @@
  * @param params model, number of words in the answer, and whether it is streamed
  */
 export async function sendTurn (opts: CallerOptions, chat: string, messages: answers.Message[], params: { model: string, words: number, stream: boolean }): Promise<CallResult> {
-  for (let attempt = 0; ; attempt++) {
+  for (let retries = 0; ; retries++) {
     const url = await opts.addresses.resolve({ model: params.model, chat })
     const result = await sendChat(opts, url, chat, messages, params)
     const isOtherAddressNeeded = result.kind === 'broken' || (result.kind === 'refused' && result.type === 'not_serving')
     if (isOtherAddressNeeded) opts.addresses.drop(url)
-    if (!isOtherAddressNeeded || attempt >= 4) {
+    if (!isOtherAddressNeeded || retries >= MAX_TURN_RETRIES) {
       recordResult(opts, result, answers.toAnswerText(messages, params.words))
       return result
     }
--- a/packages/trials/src/fleet.ts
+++ b/packages/trials/src/fleet.ts
@@ -171,7 +171,7 @@
     async stop (isDataKept = false) {
       const nodes = [...routers, ...controls, ...engines, ...plains]
       await Promise.all(nodes.map(async node => { if (node.process.isRunning()) await node.process.kill() }))
-      for (const node of [...routers, ...controls]) for (const between of node.relays) between.close()
+      for (const node of [...routers, ...controls]) for (const item of node.relays) item.close()
       if (!isDataKept) fs.rmSync(folder, { recursive: true, force: true })
     }
   }
--- a/packages/trials/src/invariantChecks.ts
+++ b/packages/trials/src/invariantChecks.ts
@@ -70,9 +70,9 @@
       versions.delete(node.id)
       return
     }
-    const isNewStart = recordTallies(node.id, health.invariants, 'loadCap')
+    const isRestarted = recordTallies(node.id, health.invariants, 'loadCap')
     const previous = versions.get(node.id)
-    if (health.serving) checks.check('versionNeverFallsWhileServing', isNewStart || previous === undefined || health.documentVersion >= previous.version, () => `${node.id} fell from ${previous?.version ?? 0} to ${health.documentVersion}`)
+    if (health.serving) checks.check('versionNeverFallsWhileServing', isRestarted || previous === undefined || health.documentVersion >= previous.version, () => `${node.id} fell from ${previous?.version ?? 0} to ${health.documentVersion}`)
     versions.set(node.id, { version: health.documentVersion, serving: health.serving })
   }
 
--- a/packages/trials/src/latency.ts
+++ b/packages/trials/src/latency.ts
@@ -54,7 +54,7 @@
 }
 
 async function measureCallsMs (calls: number, call: () => Promise<void>): Promise<number[]> {
-  for (let i = 0; i < 50; i++) await call()
+  for (let i = 0; i < WARM_UP_CALLS; i++) await call()
   const list: number[] = []
   for (let i = 0; i < calls; i++) {
     const startedAt = performance.now()
@@ -64,6 +64,7 @@
   return list
 }
 
+const WARM_UP_CALLS = 50
 const body = JSON.stringify({ frame: 12 })
 
 async function callDirect (fleet: fleets.Fleet): Promise<void> {
@@ -94,7 +95,7 @@
   return Math.max(0, busy - (await readCpuSeconds(fleet) - idleStart))
 }
 
-/** Returns CPU microseconds per streamed token, from the difference of long and short answers, which cancels the cost per request. */
+/** Returns CPU microseconds per streamed token; the difference of long and short answers cancels the cost per request. */
 async function measureCpuPerToken (fleet: fleets.Fleet): Promise<number> {
   const streamWords = async (words: number): Promise<void> => {
     const res = await undici.request(`${fleet.routers[0].url}/v1/chat/completions`, { method: 'POST', headers: { authorization: 'Bearer demo-latency' }, body: JSON.stringify({ model: 'frame-assistant', messages: [{ role: 'user', content: 'x' }], max_tokens: words, stream: true }) })
--- a/packages/trials/src/observers.ts
+++ b/packages/trials/src/observers.ts
@@ -73,7 +73,7 @@
       clearInterval(timer)
       await poll()
       const all = [...statsBeforeRestart, ...engines.values()]
-      const sum = (pickOne: (stats: EngineStats) => number): number => all.reduce((total, stats) => total + pickOne(stats), 0)
+      const sum = (select: (stats: EngineStats) => number): number => all.reduce((total, stats) => total + select(stats), 0)
       return {
         promptTokens: sum(stats => stats.prompt),
         cachedTokens: sum(stats => stats.cached),
--- a/packages/trials/src/soak.ts
+++ b/packages/trials/src/soak.ts
@@ -52,7 +52,7 @@
     }
   }
   for (const node of [...fleet.routers, ...fleet.controls]) {
-    if (!ctx.busy.has(node.id)) checks.check('noProcessEndsByItself', node.process.isRunning(), () => `${node.id} exited; see its log (--keep keeps it)`)
+    if (!ctx.busy.has(node.id)) checks.check('noProcessEndsByItself', node.process.isRunning(), () => `${node.id} exited; see its log (run with --keep)`)
   }
   isPolling = false
 }
@@ -81,11 +81,11 @@
     await pause(300)
   }
   await pause(500)
-  const dead = fleet.engines.filter(node => before.has(node.id) && !ctx.busy.has(node.id) && !node.process.isRunning())
-  poisonDeaths.push(dead.length)
-  checks.check('poisonCostsAtMostTwoEngines', dead.length <= 2, () => `${dead.length} engines died`)
+  const crashed = fleet.engines.filter(node => before.has(node.id) && !ctx.busy.has(node.id) && !node.process.isRunning())
+  poisonDeaths.push(crashed.length)
+  checks.check('poisonCostsAtMostTwoEngines', crashed.length <= 2, () => `${crashed.length} engines crashed`)
   checks.check('poisonIsToldApart', (stats.refusalsByType.get('request_quarantined') ?? 0) > 0, () => JSON.stringify([...stats.refusalsByType]))
-  for (const node of dead) node.start()
+  for (const node of crashed) node.start()
 }
 
 const ctx: faults.FaultContext = { fleet, busy: new Set(), isFullyReplicated, raceOperators: operatorPair.race, surge, poison }
--- a/packages/trials/src/standIn/engineModel.ts
+++ b/packages/trials/src/standIn/engineModel.ts
@@ -171,10 +171,10 @@
     load: () => waiting.length + running.length,
     findChatBlocks: chat => blocksByChat.get(chat) ?? [],
     importBlocks (chat, blocks) {
-      const known = cache.match(blocks)
+      const cachedCount = cache.match(blocks)
       cache.store(blocks)
       blocksByChat.set(chat, [...blocks])
-      const tokens = (blocks.length - known) * prefixCache.BLOCK_TOKENS
+      const tokens = (blocks.length - cachedCount) * prefixCache.BLOCK_TOKENS
       totals.imported += tokens
       return tokens
     }
--- a/packages/trials/src/standIn/engineServer.ts
+++ b/packages/trials/src/standIn/engineServer.ts
@@ -122,9 +122,9 @@
     const lastEvent = req.headers['last-event-id']
     const body = await readJson(req) as EngineRequest
     const from = lastEvent === undefined ? 0 : Number(/\.(-?\d+)$/.exec(String(lastEvent))?.[1] ?? -1) + 1
-    const known = attempts.get(attempt)
-    if (known !== undefined) {
-      known.stream.attach(res, from)
+    const existing = attempts.get(attempt)
+    if (existing !== undefined) {
+      existing.stream.attach(res, from)
       return
     }
     const carried = carries.find(item => item.model === body.model)
