--- a/packages/discovery/__tests__/documentFetcher.test.ts
+++ b/packages/discovery/__tests__/documentFetcher.test.ts
@@ -60,21 +60,32 @@
 test('a document is fetched from another control instance if one does not answer', async t => {
   const unresponsive = await helper.startControl({ isUnresponsiveToFetch: true })
   const healthy = await helper.startControl()
-  const entry = helper.startEntry('e1', [unresponsive.address, healthy.address])
-  await timers.setTimeout(300)
+  const entry = helper.startEntry('e1', [unresponsive.address, healthy.address], () => 0)
+  t.teardown(async () => {
+    entry.stop()
+    await Promise.all([unresponsive.close(), healthy.close()])
+  })
+  // Otherwise the reply to a later subscription would include the document, and no fetch would be needed.
+  await helper.until('both control instances answered the subscription', () => unresponsive.subscribeCount() === 1 && healthy.subscribeCount() === 1)
   unresponsive.put(toDocument(3))
   healthy.put(toDocument(3))
   await helper.until('the document arrived', () => entry.documents.at(-1)?.version === 3)
   t.true(healthy.fetchCount() >= 1)
-  entry.stop()
-  await Promise.all([unresponsive.close(), healthy.close()])
 })
 
 // An announcement may be lost with its link, or precede the subscription; ticks repeat the version.
 test('a document whose announcement was missed is fetched at the next tick', async t => {
   const control = await helper.startControl({ isAnnouncing: false })
   const entry = helper.startEntry('e1', [control.address], () => 0)
-  await timers.setTimeout(300)
+  t.teardown(async () => {
+    entry.stop()
+    await control.close()
+  })
+  // The control instance computes its reply in the same turn as it counts the call, so that the reply precedes the document.
+  await helper.until('the control instance answered the subscription', () => control.subscribeCount() === 1)
+  // Its ticks follow the reply on the link, and the entry instance accepts them from subscriptions only.
+  control.tick()
+  await helper.until('the entry instance is subscribed', () => entry.quorumSince() > -Infinity)
   control.put(toDocument(1))
   await timers.setTimeout(200)
   t.is(entry.documents.length, 0)
@@ -84,8 +95,6 @@
   control.tick()
   await timers.setTimeout(100)
   t.is(control.fetchCount(), 1, 'not fetched again')
-  entry.stop()
-  await control.close()
 })
 
 // A control instance that reports a wrong version may send an older document, which must not replace a document in force.
