--- a/packages/discovery/__tests__/documentFetcher.test.ts
+++ b/packages/discovery/__tests__/documentFetcher.test.ts
@@ -68,6 +68,7 @@
   // Otherwise the reply to a later subscription would include the document, and no fetch would be needed.
   await helper.until('both control instances answered the subscription', () => unresponsive.subscribeCount() === 1 && healthy.subscribeCount() === 1)
   unresponsive.put(toDocument(3))
+  await helper.until('the unresponsive one received a fetch', () => unresponsive.fetchCount() === 1)
   healthy.put(toDocument(3))
   await helper.until('the document arrived', () => entry.documents.at(-1)?.version === 3)
   t.true(healthy.fetchCount() >= 1)
